--- a/library/src/main/java/org/copperspindle/backpressure/KeeperChoice.java
+++ b/library/src/main/java/org/copperspindle/backpressure/KeeperChoice.java
@@ -14,5 +14,5 @@
      * @param upstream id of the upstream
      * @return name of the node; empty if this node can't know it, and has to do without the upstream
      */
-    Optional<String> keeper(String upstream);
+    Optional<String> owner(String upstream);
 }
--- a/library/src/main/java/org/copperspindle/backpressure/SendPermits.java
+++ b/library/src/main/java/org/copperspindle/backpressure/SendPermits.java
@@ -104,9 +104,9 @@
      * @param longestWait nanoseconds after which the permit must be valid
      * @param callback    told once
      */
-    public void ask(String upstream, long longestWait, Consumer<PermitResult> callback) {
+    public void requestPermit(String upstream, long longestWait, Consumer<PermitResult> callback) {
         Question question = new Question(upstream, callback);
-        Optional<String> keeper = keepers.keeper(upstream);
+        Optional<String> keeper = keepers.owner(upstream);
         if (keeper.filter(link.self()::equals).isPresent()) {
             question.end(give(upstream, longestWait));
             return;
@@ -163,8 +163,8 @@
     }
 
     /** Forgets limits that are over, and what this node gave out for upstreams that another one keeps now; to be called often. */
-    public void look() {
-        limits.look(timers.nanoTime());
+    public void removeStale() {
+        limits.removeStale(timers.nanoTime());
         slots.forgetIf(upstream -> !isNeeded(upstream) || !keeps(upstream));
         deniedUntil.keySet().removeIf(upstream -> deniedNanos(upstream) == 0);
     }
@@ -188,7 +188,7 @@
     }
 
     private boolean keeps(String upstream) {
-        return keepers.keeper(upstream).filter(link.self()::equals).isPresent();
+        return keepers.owner(upstream).filter(link.self()::equals).isPresent();
     }
 
     private void missed(long number, String keeper) {
--- a/library/src/main/java/org/copperspindle/backpressure/UpstreamLimits.java
+++ b/library/src/main/java/org/copperspindle/backpressure/UpstreamLimits.java
@@ -62,7 +62,7 @@
      * @param sentAt   when the call was sent that it answers, monotonic time in nanoseconds
      * @param now      monotonic time in nanoseconds
      */
-    public void answered(String upstream, LimitSignal signal, long sentAt, long now) {
+    public void onResponse(String upstream, LimitSignal signal, long sentAt, long now) {
         if (signal instanceof LimitSignal.Named named) {
             stated(upstream, OptionalDouble.of(named.perSecond()), now);
         } else if (signal instanceof LimitSignal.Absent && isOvertakenBy(upstream, sentAt)) {
@@ -160,14 +160,14 @@
 
     private void upstreamChanged(UpstreamNews news) {
         Limit limit = limits.get(news.id());
-        if (limit != null && news.ends(limit.incarnation())) {
+        if (limit != null && news.endsIncarnation(limit.incarnation())) {
             limits.remove(news.id());
             LOGGER.info("event=upstream-limit-forgotten upstream={} phase={}", news.id(), news.phase());
         }
     }
 
     /** Forgets limits that ended a while ago, and those of upstreams that fell silent. */
-    void look(long now) {
+    void removeStale(long now) {
         limits.entrySet().removeIf(known -> {
             Limit limit = known.getValue();
             boolean isOld = limit.perSecond().isEmpty() && now - limit.statedAt() > REMEMBERED_NANOS;
--- a/library/src/main/java/org/copperspindle/backpressure/UpstreamRests.java
+++ b/library/src/main/java/org/copperspindle/backpressure/UpstreamRests.java
@@ -48,7 +48,7 @@
      * @param taken    whether the upstream took the request that it answers
      * @param now      monotonic time in nanoseconds
      */
-    public void answered(String upstream, RestSignal signal, boolean taken, long now) {
+    public void onResponse(String upstream, RestSignal signal, boolean taken, long now) {
         if (signal instanceof RestSignal.Asked asked) {
             asked(upstream, asked, now);
         } else if (signal instanceof RestSignal.Absent && taken) {
@@ -65,7 +65,7 @@
      * @param now      monotonic time in nanoseconds
      * @return nanoseconds; 0 if it takes requests
      */
-    public long restNanos(String upstream, long now) {
+    public long backoffNanos(String upstream, long now) {
         Rest rest = rests.get(upstream);
         return rest == null ? 0 : Math.max(0, rest.until() - now);
     }
@@ -104,7 +104,7 @@
     }
 
     /** Forgets upstreams that fell silent: they leave the directory without a word. To be called often. */
-    public void look() {
+    public void removeStale() {
         rests.keySet().removeIf(upstream -> directory.find(upstream).isEmpty());
     }
 
@@ -114,7 +114,7 @@
             return;
         }
         // Answers overtake each other: a shorter rest that is read later does not end a longer one.
-        long until = now + Math.max(asked.rest().toNanos(), restNanos(upstream, now));
+        long until = now + Math.max(asked.rest().toNanos(), backoffNanos(upstream, now));
         rests.put(upstream, new Rest(until, known.get().incarnation(), FIRST_IN_FLIGHT));
         if (log.takesFailed(now)) {
             LOGGER.info(
@@ -140,7 +140,7 @@
 
     private void upstreamChanged(UpstreamNews news) {
         Rest rest = rests.get(news.id());
-        if (rest != null && news.ends(rest.incarnation())) {
+        if (rest != null && news.endsIncarnation(rest.incarnation())) {
             rests.remove(news.id());
         }
     }
--- a/library/src/main/java/org/copperspindle/batch/BatchService.java
+++ b/library/src/main/java/org/copperspindle/batch/BatchService.java
@@ -118,7 +118,7 @@
      *
      * @param bound asked before each call
      */
-    public void admittedBy(CallAdmission bound) {
+    public void limitCallsWith(CallAdmission bound) {
         admission = bound;
     }
 
@@ -167,7 +167,7 @@
      * @param handles their handles
      */
     public void free(String pool, List<String> handles) {
-        String owner = packer(pool);
+        String owner = dispatcherNode(pool);
         if (handles.isEmpty()) {
             return;
         }
@@ -185,7 +185,7 @@
      * @param pool   name of the pool
      * @param pieces how many
      */
-    public void promise(String pool, int pieces) {
+    public void addExpectedPieces(String pool, int pieces) {
         promises.add(pool, pieces);
     }
 
@@ -210,12 +210,14 @@
     public PoolLoad load(String pool) {
         long now = timers.nanoTime();
         PoolDispatcher own = dispatchers.get(pool);
-        if (own != null && packer(pool).equals(mesh.self())) {
+        if (own != null && dispatcherNode(pool).equals(mesh.self())) {
             return own.load().withPromised(promises.total(pool, now) + promises.untold(pool));
         }
         Load load = loads.get(pool);
         boolean known = load != null && now - load.at() < LOAD_AGE_NANOS;
-        return known ? load.load().withPromised(load.load().promised() + promises.untold(pool)) : PoolLoad.UNKNOWN;
+        return known
+                ? load.load().withPromised(load.load().expectedPieces() + promises.untold(pool))
+                : PoolLoad.UNKNOWN;
     }
 
     /**
@@ -266,7 +268,7 @@
         } else if (message instanceof PieceResultsMessage results) {
             received(node.address(), results);
         } else if (message instanceof PoolLoadMessage load) {
-            PoolLoad heard = new PoolLoad(load.waitMillis() * NANOS_PER_MILLI, load.perSecond(), load.promised());
+            PoolLoad heard = new PoolLoad(load.waitMillis() * NANOS_PER_MILLI, load.perSecond(), load.expectedPieces());
             loads.put(load.pool(), new Load(heard, timers.nanoTime()));
         } else if (message instanceof PoolPromiseMessage promise) {
             promises.heard(node.address(), promise.pool(), promise.pieces(), timers.nanoTime());
@@ -308,7 +310,7 @@
         long now = timers.nanoTime();
         distant.values().removeIf(lost -> now - lost.since() > DISTANT_NANOS);
         List<Pending> orphans = pending.values().stream()
-                .filter(p -> !p.owner.equals(mesh.self()) && !relay.sees(p.owner))
+                .filter(p -> !p.owner.equals(mesh.self()) && !relay.canReach(p.owner))
                 .toList();
         if (!orphans.isEmpty()) {
             LOGGER.warn("event=dispatcher-lost node={} groups={}", orphans.get(0).owner, orphans.size());
@@ -319,7 +321,7 @@
     /** Results of a node that is gone would fill their makers' memory until these forget them. */
     private void giveUpOrphans(String node, long life, long downAt) {
         Optional<MeshNode> back = mesh.find(node);
-        boolean lives = back.isPresent() ? back.get().incarnation() == life : relay.sees(node);
+        boolean lives = back.isPresent() ? back.get().incarnation() == life : relay.canReach(node);
         if (lives) {
             return;
         }
@@ -333,7 +335,7 @@
     }
 
     private void tellPromise(String pool, long pieces) {
-        String owner = packer(pool);
+        String owner = dispatcherNode(pool);
         if (owner.equals(mesh.self())) {
             promises.heard(owner, pool, pieces, timers.nanoTime());
         } else {
@@ -344,19 +346,19 @@
     private void tellLoad(String pool, PoolDispatcher dispatcher, boolean full) {
         PoolLoad load = dispatcher.load();
         long millis = load.waitNanos() / NANOS_PER_MILLI;
-        if (!packer(pool).equals(mesh.self()) || millis < QUIET_MILLIS && !full) {
+        if (!dispatcherNode(pool).equals(mesh.self()) || millis < QUIET_MILLIS && !full) {
             return;
         }
         long promised = promises.total(pool, timers.nanoTime());
         PoolLoadMessage message = new PoolLoadMessage(pool, millis, (long) load.piecesPerSecond(), promised);
         mesh.broadcast(message);
-        distant.keySet().stream().filter(relay::sees).forEach(node -> relay.send(node, message));
+        distant.keySet().stream().filter(relay::canReach).forEach(node -> relay.send(node, message));
     }
 
     private void forward(Pending entry) {
         long elapsed = (timers.nanoTime() - entry.at) / NANOS_PER_MILLI;
         PieceGroup group = entry.group.after(elapsed, entry.missing);
-        entry.owner = packer(group.pool());
+        entry.owner = dispatcherNode(group.pool());
         if (!entry.owner.equals(mesh.self())) {
             if (relay.send(entry.owner, group)) {
                 return;
@@ -409,7 +411,7 @@
      * @param pool name of the pool
      * @return name of the node
      */
-    public String packer(String pool) {
+    public String dispatcherNode(String pool) {
         String best = mesh.self();
         int fitness = status.isServing() ? status.fitness() : Integer.MIN_VALUE;
         long most = RendezvousScore.of(pool, best);
@@ -422,7 +424,7 @@
         }
         for (Map.Entry<String, Distant> lost : distant.entrySet()) {
             NodeHelloMessage hello = lost.getValue().hello();
-            if (isBetter(pool, lost.getKey(), hello, fitness, most) && relay.sees(lost.getKey())) {
+            if (isBetter(pool, lost.getKey(), hello, fitness, most) && relay.canReach(lost.getKey())) {
                 best = lost.getKey();
                 fitness = hello.fitness();
                 most = RendezvousScore.of(pool, best);
@@ -441,7 +443,7 @@
                 pool,
                 name -> new PoolDispatcher(name, directory, timers, port, () -> limits.apply(name), sink, log)
                         .judgingBy(standstills)
-                        .admittedBy(admission));
+                        .limitCallsWith(admission));
     }
 
     private void upstreamChanged(UpstreamNews news) {
@@ -471,7 +473,7 @@
         public void giveUp(List<String> handles) {
             Map<String, List<String>> byPool = new HashMap<>();
             for (String handle : handles) {
-                ResultHandle.makerAddress(handle)
+                ResultHandle.producerAddress(handle)
                         .flatMap(directory::findByAddress)
                         .map(UpstreamNews::pool)
                         .ifPresent(pool -> byPool.computeIfAbsent(pool, p -> new ArrayList<>())
--- a/library/src/main/java/org/copperspindle/batch/CallAdmission.java
+++ b/library/src/main/java/org/copperspindle/batch/CallAdmission.java
@@ -13,12 +13,12 @@
         }
 
         @Override
-        public void calls(String upstream) {
+        public void recordCall(String upstream) {
             // Nothing is counted.
         }
 
         @Override
-        public boolean isAtRest(String upstream) {
+        public boolean isBackingOff(String upstream) {
             return false;
         }
 
@@ -41,7 +41,7 @@
      *
      * @param upstream its id
      */
-    void calls(String upstream);
+    void recordCall(String upstream);
 
     /**
      * Says whether an upstream wants nothing for a while.
@@ -49,7 +49,7 @@
      * @param upstream its id
      * @return true while it rests; it may not be called then
      */
-    boolean isAtRest(String upstream);
+    boolean isBackingOff(String upstream);
 
     /**
      * Returns how far apart the calls of an upstream are at least.
--- a/library/src/main/java/org/copperspindle/batch/FetchTime.java
+++ b/library/src/main/java/org/copperspindle/batch/FetchTime.java
@@ -49,12 +49,12 @@
     }
 
     /** Notes that results were given up before they were fetched. */
-    public void tooEarly() {
+    public void recordEarlyRelease() {
         factor = Math.min(MOST_FACTOR, factor * 2);
     }
 
     /** Notes that results were given up, and the call that reads them went well. */
-    public void sound() {
+    public void recordSuccess() {
         factor -= (factor - 1) * RECOVERY;
     }
 }
--- a/library/src/main/java/org/copperspindle/batch/FreedResults.java
+++ b/library/src/main/java/org/copperspindle/batch/FreedResults.java
@@ -41,7 +41,9 @@
 
     void add(List<String> handles) {
         for (String handle : handles) {
-            ResultHandle.makerAddress(handle).flatMap(upstreams::findByAddress).ifPresent(maker -> maker.free(handle));
+            ResultHandle.producerAddress(handle)
+                    .flatMap(upstreams::findByAddress)
+                    .ifPresent(maker -> maker.free(handle));
         }
         send.schedule(FREE_NANOS);
     }
--- a/library/src/main/java/org/copperspindle/batch/PieceQueue.java
+++ b/library/src/main/java/org/copperspindle/batch/PieceQueue.java
@@ -91,7 +91,7 @@
      * @return the pieces; none if nothing fits
      */
     List<PieceTask> take(BatchLimits limits, CallBounds bounds, long now, Predicate<WaitingGroup> prefers) {
-        boolean fullCallWaits = bounds.pieces() >= limits.batch();
+        boolean fullCallWaits = bounds.pieces() >= limits.maxPieces();
         Set<WaitingGroup> preferred =
                 groups.values().stream().filter(prefers).collect(Collectors.toCollection(LinkedHashSet::new));
         List<WaitingGroup> order = new ArrayList<>(bounds.takesAll() ? groups.values() : preferred);
@@ -101,7 +101,8 @@
         for (WaitingGroup group : order) {
             int wanted = group.missing().size();
             int room = Math.min(
-                    limits.batch() - taken.size(), fitting(left, group.group().resultBytes()));
+                    limits.maxPieces() - taken.size(),
+                    fitting(left, group.group().resultBytes()));
             boolean enough = taken.size() >= bounds.pieces();
             boolean parted =
                     !taken.isEmpty() && !group.sharesCallsWith(taken.get(0).group());
@@ -128,7 +129,7 @@
     List<PieceTask> takeLeastUrgent(BatchLimits limits, long bytes, long now) {
         List<PieceTask> taken = new ArrayList<>();
         groups.values().stream()
-                .filter(g -> g.missing().size() <= limits.batch() && g.resultBytes() <= bytes)
+                .filter(g -> g.missing().size() <= limits.maxPieces() && g.resultBytes() <= bytes)
                 .max(byUrgency(limits, now, Set.of()))
                 .ifPresent(g -> take(g, g.missing().size(), taken));
         return taken;
@@ -148,11 +149,11 @@
      * split groups of large ones would take two makers' whole memory, and calls go out nearly empty while many pieces wait.
      */
     private static boolean maySplit(WaitingGroup group, BatchLimits limits) {
-        return limits.batch() * group.group().resultBytes() * SPLIT_ROOM <= limits.resultBytes();
+        return limits.maxPieces() * group.group().resultBytes() * SPLIT_ROOM <= limits.resultBytes();
     }
 
     private static Comparator<WaitingGroup> byUrgency(BatchLimits limits, long now, Set<WaitingGroup> preferred) {
-        long call = limits.expectedNanos(limits.batch() / 2);
+        long call = limits.expectedNanos(limits.maxPieces() / 2);
         return Comparator.<WaitingGroup>comparingInt(g -> g.isOnTime(now, call) ? 0 : 1)
                 .thenComparingInt(g -> preferred.contains(g) ? 0 : 1)
                 .thenComparingLong(g -> g.slackUntil() - now + g.group().rank() * RANK_NANOS);
--- a/library/src/main/java/org/copperspindle/batch/PoolDispatcher.java
+++ b/library/src/main/java/org/copperspindle/batch/PoolDispatcher.java
@@ -87,8 +87,8 @@
     }
 
     /** Sets what bounds the calls of upstreams; without it, nothing does. */
-    PoolDispatcher admittedBy(CallAdmission bound) {
-        upstreams.admittedBy(bound);
+    PoolDispatcher limitCallsWith(CallAdmission bound) {
+        upstreams.limitCallsWith(bound);
         return this;
     }
 
@@ -220,7 +220,7 @@
     }
 
     private Optional<String> domainOf(String handle) {
-        return ResultHandle.makerAddress(handle)
+        return ResultHandle.producerAddress(handle)
                 .flatMap(directory::findByAddress)
                 .map(UpstreamNews::failureDomain);
     }
@@ -354,7 +354,7 @@
             // once.
             upstream.failing(now);
         } else {
-            upstream.sound();
+            upstream.recordSuccess();
         }
         again(failed, MissReason.FAILED);
         finished.forEach((group, results) -> {
@@ -389,7 +389,7 @@
     }
 
     private void made(StageUpstream upstream, PieceTask task, PieceOutcome.Made made, long now) {
-        long kept = limits.get().map(BatchLimits::keptNanos).orElse(0L);
+        long kept = limits.get().map(BatchLimits::resultRetentionNanos).orElse(0L);
         upstream.holds(task.group(), made.handle(), task.group().group().resultBytes(), now + kept);
         if (task.group().isCancelled()) {
             free(List.of(made.handle()));
@@ -422,10 +422,10 @@
                     && !tasks.get(i).group().hasInputs();
         }
         if (tooEarly) {
-            fetchTime.tooEarly();
+            fetchTime.recordEarlyRelease();
             LOGGER.info("event=inputs-given-up-early pool={} pieces={}", pool, tasks.size());
         } else {
-            fetchTime.sound();
+            fetchTime.recordSuccess();
         }
     }
 
--- a/library/src/main/java/org/copperspindle/batch/PoolUpstreams.java
+++ b/library/src/main/java/org/copperspindle/batch/PoolUpstreams.java
@@ -49,7 +49,7 @@
         this.directory = directory;
     }
 
-    void admittedBy(CallAdmission bound) {
+    void limitCallsWith(CallAdmission bound) {
         admission = bound;
     }
 
@@ -81,13 +81,13 @@
 
     /** Notes that an upstream gets a call that makes pieces. */
     void calls(StageUpstream upstream) {
-        admission.calls(upstream.news().id());
+        admission.recordCall(upstream.news().id());
         upstream.worked();
     }
 
     /** Notes that an upstream is told which results it may forget. */
     void frees(StageUpstream upstream) {
-        admission.calls(upstream.news().id());
+        admission.recordCall(upstream.news().id());
     }
 
     Optional<StageUpstream> findByAddress(String address) {
@@ -148,7 +148,7 @@
         long soonest = usable.stream().mapToLong(u -> u.busyNanos(now)).min().orElseThrow();
         BatchLimits each = limits.get();
         double perNano = usable.stream()
-                .mapToDouble(u -> each.batch() / Math.max(each.fullCallNanos() * u.slowness(), spacingNanos(u)))
+                .mapToDouble(u -> each.maxPieces() / Math.max(each.fullCallNanos() * u.slowness(), spacingNanos(u)))
                 .sum();
         return new PoolLoad(soonest + (long) (waiting / perNano), perNano * NANOS_PER_SECOND, 0);
     }
@@ -161,7 +161,7 @@
      * @param now     monotonic time in nanoseconds
      */
     boolean isBehind(BatchLimits limits, int waiting, long now) {
-        return waiting >= BEHIND_CALLS * limits.batch() * usable(now).size();
+        return waiting >= BEHIND_CALLS * limits.maxPieces() * usable(now).size();
     }
 
     /**
@@ -174,7 +174,7 @@
     }
 
     private boolean isAway(StageUpstream upstream, long now) {
-        return upstream.isPaused(now) || admission.isAtRest(upstream.news().id());
+        return upstream.isPaused(now) || admission.isBackingOff(upstream.news().id());
     }
 
     /** Returns how far apart its calls that make pieces are at least. */
--- a/library/src/main/java/org/copperspindle/batch/ResultHandle.java
+++ b/library/src/main/java/org/copperspindle/batch/ResultHandle.java
@@ -18,7 +18,7 @@
      * @param handle the handle
      * @return IP:PORT of its maker, empty if the handle names none
      */
-    public static Optional<String> makerAddress(String handle) {
+    public static Optional<String> producerAddress(String handle) {
         int end = handle.indexOf(SEPARATOR);
         return end < 0 ? Optional.empty() : Optional.of(handle.substring(0, end));
     }
--- a/library/src/main/java/org/copperspindle/batch/StageUpstream.java
+++ b/library/src/main/java/org/copperspindle/batch/StageUpstream.java
@@ -80,7 +80,7 @@
     }
 
     boolean isFree(BatchLimits limits, long now) {
-        return !isPaused(now) && calls < limits.slots();
+        return !isPaused(now) && calls < limits.concurrentCalls();
     }
 
     boolean isPaused(long now) {
@@ -168,7 +168,7 @@
     }
 
     /** Notes that a call gave results. */
-    void sound() {
+    void recordSuccess() {
         losses = 0;
     }
 
--- a/library/src/main/java/org/copperspindle/coldstart/ColdAdmission.java
+++ b/library/src/main/java/org/copperspindle/coldstart/ColdAdmission.java
@@ -23,5 +23,5 @@
      * @param upstream id of the upstream
      * @param now      monotonic time in nanoseconds
      */
-    void taken(String upstream, long now);
+    void recordSend(String upstream, long now);
 }
--- a/library/src/main/java/org/copperspindle/coldstart/SenderSetAdmission.java
+++ b/library/src/main/java/org/copperspindle/coldstart/SenderSetAdmission.java
@@ -54,7 +54,7 @@
     }
 
     @Override
-    public void taken(String upstream, long now) {
+    public void recordSend(String upstream, long now) {
         sends.add(upstream, now);
     }
 
--- a/library/src/main/java/org/copperspindle/consensus/ConsensusSettings.java
+++ b/library/src/main/java/org/copperspindle/consensus/ConsensusSettings.java
@@ -48,7 +48,7 @@
             List<VoterAddress> voters,
             Path dataFolder,
             Duration electionTimeout) {
-        this(group, name, address, operators, VoterRoster.named(voters), false, dataFolder, electionTimeout);
+        this(group, name, address, operators, VoterRoster.fixedVoters(voters), false, dataFolder, electionTimeout);
     }
 
     RaftLimits limits() {
--- a/library/src/main/java/org/copperspindle/consensus/GroupFounder.java
+++ b/library/src/main/java/org/copperspindle/consensus/GroupFounder.java
@@ -52,7 +52,7 @@
         if (!request.voters().equals(state.settings().voterNames())) {
             // Members that are found as they come agree after a moment; names from settings never will by themselves.
             LOGGER.log(
-                    state.settings().roster().isOpen() ? Level.DEBUG : Level.ERROR,
+                    state.settings().roster().isDynamic() ? Level.DEBUG : Level.ERROR,
                     "event=voters-differ member={} peer={} own={} theirs={}",
                     state.settings().name(),
                     from.name(),
@@ -106,7 +106,7 @@
     }
 
     private boolean isFounder() {
-        return state.settings().roster().mayFound()
+        return state.settings().roster().mayBootstrap()
                 && firstVoter().filter(state.settings().name()::equals).isPresent();
     }
 
--- a/library/src/main/java/org/copperspindle/consensus/MembershipChanges.java
+++ b/library/src/main/java/org/copperspindle/consensus/MembershipChanges.java
@@ -56,7 +56,7 @@
         if (next.isEmpty()) {
             next = repair(now);
         }
-        if (next.isEmpty() && state.settings().roster().isOpen()) {
+        if (next.isEmpty() && state.settings().roster().isDynamic()) {
             next = removeSilent(now);
         }
         next.ifPresent(membership -> propose(membership, now));
@@ -125,7 +125,7 @@
      */
     private Optional<Membership> removeSilent(long now) {
         long silent = SILENT_ELECTIONS * state.settings().timing().electionNanos();
-        if (state.membership().voters().size() <= state.settings().roster().smallest()) {
+        if (state.membership().voters().size() <= state.settings().roster().minVoters()) {
             return Optional.empty();
         }
         return state.membership().voters().stream()
--- a/library/src/main/java/org/copperspindle/consensus/RaftNode.java
+++ b/library/src/main/java/org/copperspindle/consensus/RaftNode.java
@@ -257,7 +257,7 @@
      */
     private void askToJoinAgain(long now) {
         RaftTiming timing = state.settings().timing();
-        boolean lost = state.settings().roster().isOpen()
+        boolean lost = state.settings().roster().isDynamic()
                 && state.role() != RaftRole.LEADER
                 && now - state.heardLeaderAt() > LOST_ELECTIONS * timing.electionNanos();
         if (!lost || now - askedToJoinAt < timing.electionNanos()) {
--- a/library/src/main/java/org/copperspindle/consensus/RaftSettings.java
+++ b/library/src/main/java/org/copperspindle/consensus/RaftSettings.java
@@ -54,7 +54,7 @@
             List<Voter> voters,
             RaftTiming timing,
             RaftLimits limits) {
-        this(groupName, name, address, operators, () -> voters, VoterRoster.named(List.of()), timing, limits);
+        this(groupName, name, address, operators, () -> voters, VoterRoster.fixedVoters(List.of()), timing, limits);
     }
 
     List<Voter> voters() {
@@ -67,7 +67,7 @@
 
     /** Says whether a learner of this name may become a voter. */
     boolean admits(String wanted) {
-        return roster.isOpen() || voters().stream().anyMatch(v -> v.name().equals(wanted));
+        return roster.isDynamic() || voters().stream().anyMatch(v -> v.name().equals(wanted));
     }
 
     List<Voter> others() {
--- a/library/src/main/java/org/copperspindle/consensus/VoterRoster.java
+++ b/library/src/main/java/org/copperspindle/consensus/VoterRoster.java
@@ -21,21 +21,21 @@
      *
      * @return false if this member may only join
      */
-    boolean mayFound();
+    boolean mayBootstrap();
 
     /**
      * Says whether every member that asks becomes a voter, and one that stays silent is removed.
      *
      * @return false if the operator names the voters
      */
-    boolean isOpen();
+    boolean isDynamic();
 
     /**
      * Returns how many voters a removal must leave.
      *
      * @return enough to bear the losses that the group must bear at once
      */
-    int smallest();
+    int minVoters();
 
     /**
      * Makes the roster of a group whose voters the operator names.
@@ -43,7 +43,7 @@
      * @param voters the voters, in the same order on all members
      * @return a roster that never changes
      */
-    static VoterRoster named(List<VoterAddress> voters) {
+    static VoterRoster fixedVoters(List<VoterAddress> voters) {
         List<VoterAddress> fixed = List.copyOf(voters);
         return new VoterRoster() {
             @Override
@@ -52,17 +52,17 @@
             }
 
             @Override
-            public boolean mayFound() {
+            public boolean mayBootstrap() {
                 return true;
             }
 
             @Override
-            public boolean isOpen() {
+            public boolean isDynamic() {
                 return false;
             }
 
             @Override
-            public int smallest() {
+            public int minVoters() {
                 return fixed.size();
             }
         };
--- a/library/src/main/java/org/copperspindle/dialect/ControlFormat.java
+++ b/library/src/main/java/org/copperspindle/dialect/ControlFormat.java
@@ -63,7 +63,7 @@
      * @param version the newest accepted version
      * @return the body
      */
-    JsonNode accepted(long version);
+    JsonNode acceptedBody(long version);
 
     /**
      * Writes an error.
@@ -71,7 +71,7 @@
      * @param text what is wrong
      * @return the body
      */
-    JsonNode problem(String text);
+    JsonNode errorBody(String text);
 
     /**
      * Reads an announcement. It may come from a writer of another kind or version: what it does not say in full names no
@@ -82,7 +82,7 @@
      * @return the announcement
      * @throws IllegalArgumentException if something is missing or wrong; names the field
      */
-    UpstreamNews announcement(String id, JsonNode body);
+    UpstreamNews readAnnouncement(String id, JsonNode body);
 
     /**
      * Reads which life of an upstream leaves.
@@ -91,7 +91,7 @@
      * @return its incarnation; {@link UpstreamNews#UNKNOWN_INCARNATION} if it does not say so
      * @throws IllegalArgumentException if what it says is wrong; names the field
      */
-    long departure(JsonNode body);
+    long readDeparture(JsonNode body);
 
     /**
      * A call of a node.
--- a/library/src/main/java/org/copperspindle/dialect/EvacuationCalls.java
+++ b/library/src/main/java/org/copperspindle/dialect/EvacuationCalls.java
@@ -73,7 +73,7 @@
         } else if (ends.isPresent()) {
             order(exchange, ends.get(), false);
         } else {
-            HttpControlDoor.answer(exchange, METHOD_NOT_ALLOWED, format.problem("method not allowed"));
+            HttpControlDoor.answer(exchange, METHOD_NOT_ALLOWED, format.errorBody("method not allowed"));
         }
     }
 
--- a/library/src/main/java/org/copperspindle/dialect/HeaderUpstreams.java
+++ b/library/src/main/java/org/copperspindle/dialect/HeaderUpstreams.java
@@ -54,7 +54,7 @@
                 fields,
                 request.body(),
                 request.id(),
-                order.use());
+                order.connectionUse());
     }
 
     @Override
@@ -63,7 +63,7 @@
     }
 
     @Override
-    public boolean lacksInputs(DirectHead head) {
+    public boolean reportsMissingInputs(DirectHead head) {
         return head.status() == CONFLICT && head.field(names.notRun()).isPresent();
     }
 
@@ -78,7 +78,7 @@
     }
 
     @Override
-    public RestSignal rest(DirectHead head) {
+    public RestSignal backoff(DirectHead head) {
         return head.status() == UNAVAILABLE ? RestSignal.of(head.values(HeaderFields.RETRY_AFTER)) : RestSignal.ABSENT;
     }
 
--- a/library/src/main/java/org/copperspindle/dialect/HeldRequestCalls.java
+++ b/library/src/main/java/org/copperspindle/dialect/HeldRequestCalls.java
@@ -60,7 +60,7 @@
                     .put("route", each.route())
                     .put("account", each.account())
                     .put("since_ms", each.sinceMillis())
-                    .put("left_ms", each.leftMillis());
+                    .put("left_ms", each.remainingMillis());
             ArrayNode upstreams = one.putArray("upstreams");
             each.upstreams().forEach(upstreams::add);
         }
--- a/library/src/main/java/org/copperspindle/dialect/HttpControlDoor.java
+++ b/library/src/main/java/org/copperspindle/dialect/HttpControlDoor.java
@@ -87,7 +87,7 @@
 
     private void announced(HttpExchange exchange, String id) {
         try {
-            Optional<String> refused = desk.announced(format.announcement(id, JsonText.read(exchange.body())));
+            Optional<String> refused = desk.announced(format.readAnnouncement(id, JsonText.read(exchange.body())));
             if (refused.isPresent()) {
                 problem(exchange, UNAVAILABLE, "announcement: " + refused.get());
             } else {
@@ -102,7 +102,7 @@
         try {
             boolean tellsMore = exchange.body().length > 0;
             long incarnation =
-                    tellsMore ? format.departure(JsonText.read(exchange.body())) : UpstreamNews.UNKNOWN_INCARNATION;
+                    tellsMore ? format.readDeparture(JsonText.read(exchange.body())) : UpstreamNews.UNKNOWN_INCARNATION;
             desk.left(id, incarnation);
             answer(exchange, OK, NOTHING);
         } catch (IOException | IllegalArgumentException e) {
@@ -117,7 +117,7 @@
 
     private void accepted(HttpExchange exchange, ControlAnswer result) {
         if (result instanceof ControlAnswer.Recorded recorded) {
-            answer(exchange, OK, format.accepted(recorded.version()));
+            answer(exchange, OK, format.acceptedBody(recorded.version()));
         } else {
             other(exchange, result);
         }
@@ -146,7 +146,7 @@
     }
 
     private void problem(HttpExchange exchange, int status, String text) {
-        answer(exchange, status, format.problem(text));
+        answer(exchange, status, format.errorBody(text));
     }
 
     /** Answers with a JSON body. */
--- a/library/src/main/java/org/copperspindle/dialect/StageCalls.java
+++ b/library/src/main/java/org/copperspindle/dialect/StageCalls.java
@@ -123,7 +123,7 @@
         @Override
         public void onFailure(DirectFailure failure) {
             String reason = failure.sent() ? failure.reason() : "unsent-" + failure.reason();
-            boolean mayHaveEnded = failure.sent() && failure.lost();
+            boolean mayHaveEnded = failure.sent() && failure.connectionLost();
             end(new StageCallResult.Lost(reason, mayHaveEnded));
         }
 
--- a/library/src/main/java/org/copperspindle/dialect/StandardControlFormat.java
+++ b/library/src/main/java/org/copperspindle/dialect/StandardControlFormat.java
@@ -49,22 +49,22 @@
     }
 
     @Override
-    public JsonNode accepted(long version) {
+    public JsonNode acceptedBody(long version) {
         return JsonText.nodes().objectNode().put("version", version);
     }
 
     @Override
-    public JsonNode problem(String text) {
+    public JsonNode errorBody(String text) {
         return JsonText.nodes().objectNode().put("problem", text);
     }
 
     @Override
-    public UpstreamNews announcement(String id, JsonNode body) {
+    public UpstreamNews readAnnouncement(String id, JsonNode body) {
         return UPSTREAM.read(id, body);
     }
 
     @Override
-    public long departure(JsonNode body) {
+    public long readDeparture(JsonNode body) {
         return UPSTREAM.readIncarnation(body);
     }
 }
--- a/library/src/main/java/org/copperspindle/dialect/StandardDialects.java
+++ b/library/src/main/java/org/copperspindle/dialect/StandardDialects.java
@@ -16,27 +16,27 @@
 public final class StandardDialects implements GatewayDialects {
 
     @Override
-    public CallerDialect callers() {
+    public CallerDialect callerDialect() {
         return new HeaderCallers(HeaderNames.STANDARD);
     }
 
     @Override
-    public UpstreamDialect upstreams() {
+    public UpstreamDialect upstreamDialect() {
         return new HeaderUpstreams(HeaderNames.STANDARD);
     }
 
     @Override
-    public RouteTableReader tables() {
+    public RouteTableReader tableReader() {
         return new StandardTables();
     }
 
     @Override
-    public StagePort stages(UpstreamPort port, TimerService timers) {
+    public StagePort stagePort(UpstreamPort port, TimerService timers) {
         return new StageCalls(new StandardStageFormat(), HeaderNames.STANDARD, port, timers);
     }
 
     @Override
-    public HttpRequestHandler control(ControlDesk desk) {
+    public HttpRequestHandler controlEndpoint(ControlDesk desk) {
         return new HttpControlDoor(desk, new StandardControlFormat());
     }
 }
--- a/library/src/main/java/org/copperspindle/dialect/StandardTables.java
+++ b/library/src/main/java/org/copperspindle/dialect/StandardTables.java
@@ -143,7 +143,7 @@
     private static Optional<ColdLimits> cold(SettingsSection s) {
         double perSecond = s.getDouble("cold-per-second", 0, MOST, Optional.of(0.0));
         Duration time = s.getDuration("cold-time", Optional.of(Duration.ZERO));
-        return ColdLimits.stated(time, perSecond);
+        return ColdLimits.ofRate(time, perSecond);
     }
 
     private static BatchLimits batch(SettingsSection s, int batch) {
--- a/library/src/main/java/org/copperspindle/discovery/DirectoryGossip.java
+++ b/library/src/main/java/org/copperspindle/discovery/DirectoryGossip.java
@@ -47,7 +47,7 @@
      *
      * @param news the announcement
      */
-    public void announced(UpstreamNews news) {
+    public void onAnnouncement(UpstreamNews news) {
         DirectoryChange change = directory.accept(news, timers.nanoTime());
         if (change == DirectoryChange.CHANGED) {
             mesh.broadcast(new UpstreamNewsMessage(List.of(news)));
@@ -63,7 +63,7 @@
      * @param incarnation the life that has ended; {@link UpstreamNews#UNKNOWN_INCARNATION} for the one known here
      * @param reason      how this is known
      */
-    public void left(String id, long incarnation, String reason) {
+    public void onLeft(String id, long incarnation, String reason) {
         directory
                 .leave(id, incarnation, reason, timers.nanoTime())
                 .ifPresent(news -> mesh.broadcast(new UpstreamNewsMessage(List.of(news))));
@@ -74,7 +74,7 @@
      *
      * @param id its id
      */
-    public void leaving(String id) {
+    public void onLeaving(String id) {
         directory
                 .leaving(id, timers.nanoTime())
                 .ifPresent(news -> mesh.broadcast(new UpstreamNewsMessage(List.of(news))));
--- a/library/src/main/java/org/copperspindle/discovery/UpstreamDirectory.java
+++ b/library/src/main/java/org/copperspindle/discovery/UpstreamDirectory.java
@@ -75,7 +75,7 @@
      * @param failureDomain its name
      * @return false if none is known there
      */
-    public boolean hasDomain(String failureDomain) {
+    public boolean hasFailureDomain(String failureDomain) {
         return byId.values().stream()
                 .anyMatch(known -> known.news().failureDomain().equals(failureDomain));
     }
@@ -85,7 +85,7 @@
      *
      * @param nanosByPool nanoseconds by name of the pool; upstreams of other pools are never presumed to be cold
      */
-    public void coldTimes(Map<String, Long> nanosByPool) {
+    public void setColdTimes(Map<String, Long> nanosByPool) {
         coldNanosByPool = Map.copyOf(nanosByPool);
     }
 
@@ -259,7 +259,7 @@
      * @param now monotonic time in nanoseconds
      * @return nanoseconds
      */
-    public long silence(String id, long now) {
+    public long silenceNanos(String id, long now) {
         Known known = byId.get(id);
         return known == null ? Long.MAX_VALUE : now - known.heardAt();
     }
@@ -272,7 +272,7 @@
      * @return milliseconds
      */
     long silenceMillis(String id, long now) {
-        return Duration.ofNanos(silence(id, now)).toMillis();
+        return Duration.ofNanos(silenceNanos(id, now)).toMillis();
     }
 
     /**
--- a/library/src/main/java/org/copperspindle/discovery/UpstreamNews.java
+++ b/library/src/main/java/org/copperspindle/discovery/UpstreamNews.java
@@ -87,7 +87,7 @@
      * @param life incarnation of that life
      * @return false while the life goes on
      */
-    public boolean ends(long life) {
+    public boolean endsIncarnation(long life) {
         return phase == UpstreamPhase.GONE || incarnation != life;
     }
 
--- a/library/src/main/java/org/copperspindle/edition/EditionExchange.java
+++ b/library/src/main/java/org/copperspindle/edition/EditionExchange.java
@@ -46,7 +46,7 @@
     /**
      * Sets what this node serves by.
      *
-     * @param own the holder, which asks through {@link #ask}
+     * @param own the holder, which asks through {@link #requestLease}
      */
     public void holder(EditionHolder own) {
         holder = own;
@@ -70,7 +70,7 @@
         status = newest;
         mesh.announce();
         if (!newest.leader().isEmpty()) {
-            holder.ask();
+            holder.requestLease();
         }
     }
 
@@ -123,7 +123,7 @@
      *
      * @param question the question
      */
-    public void ask(EditionLeaseAskMessage question) {
+    public void requestLease(EditionLeaseAskMessage question) {
         Optional<String> leader = leader();
         if (leader.isEmpty()) {
             return;
@@ -182,7 +182,7 @@
                 && !leader.equals(asked)
                 && mesh.find(leader.get()).isPresent()) {
             asked = leader;
-            holder.ask();
+            holder.requestLease();
         }
     }
 
@@ -192,7 +192,7 @@
     }
 
     private void answerSelf(long sequence, EditionSnapshotMessage newest) {
-        newest.edition().ifPresent(holder::receive);
+        newest.newestVersion().ifPresent(holder::receive);
         holder.receive(newest.evacuations());
         holder.receive(lease(sequence, newest));
     }
@@ -203,7 +203,7 @@
             return;
         }
         // What the node lacks goes first: with it the node can use the lease that follows.
-        newest.edition().ifPresent(edition -> push(node.get(), question.held(), edition));
+        newest.newestVersion().ifPresent(edition -> push(node.get(), question.held(), edition));
         if (newest.evacuations().revision() > question.revision()) {
             node.get().send(newest.evacuations());
         }
--- a/library/src/main/java/org/copperspindle/edition/EditionHolder.java
+++ b/library/src/main/java/org/copperspindle/edition/EditionHolder.java
@@ -90,12 +90,12 @@
 
     /** Begins to ask the leader. */
     public void start() {
-        ask();
+        requestLease();
         timers.schedule(ASK_INTERVAL.toNanos(), this::start);
     }
 
     /** Asks the leader now, for example when a new one is known. */
-    public void ask() {
+    public void requestLease() {
         checkSuspension();
         sequence++;
         questions.addLast(new Question(sequence, timers.nanoTime()));
--- a/library/src/main/java/org/copperspindle/edition/EditionObserver.java
+++ b/library/src/main/java/org/copperspindle/edition/EditionObserver.java
@@ -10,7 +10,7 @@
      *
      * @param edition the version
      */
-    void onEdition(EditionMessage edition);
+    void onVersion(EditionMessage edition);
 
     /**
      * A failure domain is evacuated or used again.
--- a/library/src/main/java/org/copperspindle/edition/EditionSnapshotMessage.java
+++ b/library/src/main/java/org/copperspindle/edition/EditionSnapshotMessage.java
@@ -10,10 +10,10 @@
 /**
  * Everything that the group has accepted: a snapshot of its log.
  *
- * @param edition     newest version, empty if none was accepted yet
- * @param evacuations failure domains that are evacuated
+ * @param newestVersion newest version, empty if none was accepted yet
+ * @param evacuations   failure domains that are evacuated
  */
-public record EditionSnapshotMessage(Optional<EditionMessage> edition, EvacuationsMessage evacuations)
+public record EditionSnapshotMessage(Optional<EditionMessage> newestVersion, EvacuationsMessage evacuations)
         implements WireMessage {
 
     /** Codec of this message. */
@@ -29,11 +29,11 @@
      * @return 0 if none was accepted yet
      */
     public long version() {
-        return edition.map(EditionMessage::version).orElse(0L);
+        return newestVersion.map(EditionMessage::version).orElse(0L);
     }
 
     private void write(FieldWriter out) {
-        edition.ifPresent(newest -> out.put(1, EditionMessage.CODEC.encode(newest)));
+        newestVersion.ifPresent(newest -> out.put(1, EditionMessage.CODEC.encode(newest)));
         out.put(2, EvacuationsMessage.CODEC.encode(evacuations));
     }
 
--- a/library/src/main/java/org/copperspindle/edition/EditionState.java
+++ b/library/src/main/java/org/copperspindle/edition/EditionState.java
@@ -80,7 +80,7 @@
             Optional<EditionMessage> edition = Optional.of(alone).filter(e -> e.version() > 0);
             held = new EditionSnapshotMessage(edition, EvacuationsMessage.NONE);
         }
-        held.edition().ifPresent(observer::onEdition);
+        held.newestVersion().ifPresent(observer::onVersion);
         if (held.evacuations().revision() > 0) {
             observer.onEvacuations(held.evacuations());
         }
@@ -95,7 +95,7 @@
                 term,
                 edition.text().length);
         held = new EditionSnapshotMessage(Optional.of(edition), held.evacuations());
-        observer.onEdition(edition);
+        observer.onVersion(edition);
     }
 
     private ControlResult evacuate(EvacuationCommand order, long index, long term) {
@@ -112,7 +112,7 @@
                 term,
                 next.failureDomains());
         if (next != held.evacuations()) {
-            held = new EditionSnapshotMessage(held.edition(), next);
+            held = new EditionSnapshotMessage(held.newestVersion(), next);
             observer.onEvacuations(next);
         }
         return new ControlResult.ConfigAccepted(held.version());
--- a/library/src/main/java/org/copperspindle/edition/MeshRoster.java
+++ b/library/src/main/java/org/copperspindle/edition/MeshRoster.java
@@ -81,23 +81,23 @@
     }
 
     @Override
-    public boolean mayFound() {
+    public boolean mayBootstrap() {
         State now = state;
         if (!firstStart || now.grouped()) {
             return false;
         }
         boolean settled = timers.nanoTime() - now.changedAt() > SETTLED.toNanos();
         boolean patient = timers.nanoTime() - startedAt < PATIENCE.toNanos();
-        return settled && (now.voters().size() >= smallest() || !patient);
+        return settled && (now.voters().size() >= minVoters() || !patient);
     }
 
     @Override
-    public boolean isOpen() {
+    public boolean isDynamic() {
         return true;
     }
 
     @Override
-    public int smallest() {
+    public int minVoters() {
         return 2 * tolerated + 1;
     }
 
--- a/library/src/main/java/org/copperspindle/entry/EntryService.java
+++ b/library/src/main/java/org/copperspindle/entry/EntryService.java
@@ -192,7 +192,7 @@
         if (fraction != rateShare) {
             LOGGER.info("event=rate-share fraction={}", fraction);
             rateShare = fraction;
-            policy.rateShare(fraction, timers.nanoTime());
+            policy.setRateShare(fraction, timers.nanoTime());
             updateReady();
         }
     }
@@ -210,9 +210,9 @@
     }
 
     private void updateReady() {
-        leaseHeld = control.held();
+        leaseHeld = control.isLeaseHeld();
         configVersion = deployment.version();
-        ready = control.held() && deployment.version() > 0 && rateShare > 0 && !stopping;
+        ready = control.isLeaseHeld() && deployment.version() > 0 && rateShare > 0 && !stopping;
     }
 
     private void awaitIdle(Runnable done, long until) {
@@ -253,7 +253,7 @@
     }
 
     private boolean serves() {
-        return !refusing && control.held() && deployment.version() > 0 && rateShare > 0;
+        return !refusing && control.isLeaseHeld() && deployment.version() > 0 && rateShare > 0;
     }
 
     private void run(PipelineRequest request, AnswerSink sink) {
--- a/library/src/main/java/org/copperspindle/entry/RequestAdmission.java
+++ b/library/src/main/java/org/copperspindle/entry/RequestAdmission.java
@@ -64,7 +64,7 @@
             return refuse(mayBeResend, "not-allowed", FORBIDDEN, "the account may not call this", Optional.empty());
         }
         PipelineRequest bounded = bound(requestId, request, account.get(), pipeline.get(), now);
-        Optional<Refusal> refusal = policy.refuse(bounded, now);
+        Optional<Refusal> refusal = policy.tryAdmit(bounded, now);
         if (refusal.isPresent()) {
             return refuse(mayBeResend, refusal.get());
         }
@@ -80,10 +80,15 @@
     }
 
     private static AdmissionResult refuse(boolean mayBeResend, Refusal refusal) {
-        Optional<Duration> comeBack = Optional.of(refusal.comeBack());
+        Optional<Duration> retryAfter = Optional.of(refusal.retryAfter());
         return refusal.reason().equals(Refusal.RATE)
-                ? refuse(mayBeResend, refusal.reason(), TOO_MANY_REQUESTS, "over the account's rate", comeBack)
-                : refuse(mayBeResend, refusal.reason(), UNAVAILABLE, "can't be answered within the deadline", comeBack);
+                ? refuse(mayBeResend, refusal.reason(), TOO_MANY_REQUESTS, "over the account's rate", retryAfter)
+                : refuse(
+                        mayBeResend,
+                        refusal.reason(),
+                        UNAVAILABLE,
+                        "can't be answered within the deadline",
+                        retryAfter);
     }
 
     private static PipelineRequest bound(
@@ -109,11 +114,11 @@
     }
 
     private static AdmissionResult refuse(
-            boolean mayBeResend, String reason, int status, String title, Optional<Duration> comeBack) {
+            boolean mayBeResend, String reason, int status, String title, Optional<Duration> retryAfter) {
         return new AdmissionResult.Refused(PipelineAnswer.failure(
                 RefusalVerdictPolicy.verdict(mayBeResend, reason),
                 status,
                 RefusalVerdictPolicy.title(mayBeResend, title),
-                comeBack));
+                retryAfter));
     }
 }
--- a/library/src/main/java/org/copperspindle/entry/RequestDriver.java
+++ b/library/src/main/java/org/copperspindle/entry/RequestDriver.java
@@ -259,7 +259,7 @@
 
     private void waitFor(OpenRequest open, String pool) {
         long patience = open.chooser().enqueue(open.request(), timers.nanoTime());
-        open.waiting(timers.schedule(patience, () -> perform(open, open.run().onHopeless(COME_BACK))));
+        open.waiting(timers.schedule(patience, () -> perform(open, open.run().onDeadlineUnreachable(COME_BACK))));
         line.waits(pool);
     }
 
--- a/library/src/main/java/org/copperspindle/entry/RunChooser.java
+++ b/library/src/main/java/org/copperspindle/entry/RunChooser.java
@@ -79,8 +79,8 @@
     }
 
     @Override
-    public Optional<Duration> hopeless(PipelineRequest judged, int stageIndex, long now) {
-        return policy.hopeless(judged, stageIndex, now);
+    public Optional<Duration> retryAfterIfUnreachable(PipelineRequest judged, int stageIndex, long now) {
+        return policy.retryAfterIfUnreachable(judged, stageIndex, now);
     }
 
     @Override
--- a/library/src/main/java/org/copperspindle/entry/WaitingRequests.java
+++ b/library/src/main/java/org/copperspindle/entry/WaitingRequests.java
@@ -71,7 +71,7 @@
         watched.clear();
         for (String pool : pools) {
             freed(pool);
-            if (policy.waiting(pool)) {
+            if (policy.hasWaiting(pool)) {
                 waits(pool);
             }
         }
--- a/library/src/main/java/org/copperspindle/gateway/AdmittedRequest.java
+++ b/library/src/main/java/org/copperspindle/gateway/AdmittedRequest.java
@@ -69,7 +69,7 @@
 
     /** Returns the limits of the calls of a stage's pool; empty if the table does not have the pool. */
     Optional<BatchLimits> stageLimits(int stage) {
-        return table.findPool(stagePool(stage)).flatMap(UpstreamPool::batch);
+        return table.findPool(stagePool(stage)).flatMap(UpstreamPool::batchLimits);
     }
 
     /** Returns the urgency, 0 first: the rank of the account goes before that of the route. */
--- a/library/src/main/java/org/copperspindle/gateway/AttemptOrder.java
+++ b/library/src/main/java/org/copperspindle/gateway/AttemptOrder.java
@@ -16,7 +16,7 @@
  * @param inputs          handles of the stage results that it needs; empty if its route has no stages
  * @param resumeAfter     id of the last event that the caller has, if the stream goes on
  * @param rank            urgency, 0 first
- * @param use             on which connection it may go out
+ * @param connectionUse   on which connection it may go out
  */
 public record AttemptOrder(
         GatewayRequest request,
@@ -26,4 +26,4 @@
         Optional<List<String>> inputs,
         Optional<String> resumeAfter,
         int rank,
-        ConnectionUse use) {}
+        ConnectionUse connectionUse) {}
--- a/library/src/main/java/org/copperspindle/gateway/AttemptTurn.java
+++ b/library/src/main/java/org/copperspindle/gateway/AttemptTurn.java
@@ -134,7 +134,7 @@
     }
 
     private void ask(UpstreamPool pool, UpstreamNews upstream, long longestWait) {
-        context.permits().ask(upstream.id(), longestWait, result -> answered(pool, upstream, result));
+        context.permits().requestPermit(upstream.id(), longestWait, result -> answered(pool, upstream, result));
     }
 
     private void answered(UpstreamPool pool, UpstreamNews upstream, PermitResult result) {
--- a/library/src/main/java/org/copperspindle/gateway/ControlDesk.java
+++ b/library/src/main/java/org/copperspindle/gateway/ControlDesk.java
@@ -66,7 +66,7 @@
             ignored(news.id(), "unknown-pool", news.pool());
             return Optional.of("no pool " + news.pool());
         }
-        gossip.announced(news);
+        gossip.onAnnouncement(news);
         return Optional.empty();
     }
 
@@ -88,7 +88,7 @@
      * @param incarnation the life that has ended; {@link UpstreamNews#UNKNOWN_INCARNATION} for the one known here
      */
     public void left(String id, long incarnation) {
-        gossip.left(id, incarnation, "deregistered");
+        gossip.onLeft(id, incarnation, "deregistered");
     }
 
     /**
@@ -97,7 +97,7 @@
      * @return as this node knows them
      */
     public List<HeldRequest> heldRequests() {
-        return quarantine.held();
+        return quarantine.quarantined();
     }
 
     /**
--- a/library/src/main/java/org/copperspindle/gateway/GatewayContext.java
+++ b/library/src/main/java/org/copperspindle/gateway/GatewayContext.java
@@ -16,28 +16,28 @@
 /**
  * What all requests of a node share.
  *
- * @param timers    time on the network thread
- * @param callers   how callers write
- * @param upstreams how upstreams are spoken to
- * @param port      sends calls
- * @param batches   makes the pieces of stages
- * @param gossip    tells other nodes of upstreams that have left
- * @param tracker   what was seen of upstreams
- * @param chooser   chooses upstreams
- * @param cold      parts what cold upstreams bear among the nodes
- * @param permits   admits to upstreams that have named a limit
- * @param budget    bounds repeats
- * @param gate      decides when stages begin
- * @param fetches   how long upstreams take to fetch stage results
- * @param firstEvents how long upstreams take after the stages
- * @param streamTimes how long streams take after their first event
- * @param cutOff    tells whether this node is cut off from the others
- * @param open      requests in progress
- * @param counters  counts requests
- * @param log       bounds log lines
- * @param random    draws pools by weight
- * @param returns   when refused callers should come back
- * @param quarantine holds requests off that end their upstreams
+ * @param timers              time on the network thread
+ * @param callers             how callers write
+ * @param upstreams           how upstreams are spoken to
+ * @param port                sends calls
+ * @param batches             makes the pieces of stages
+ * @param gossip              tells other nodes of upstreams that have left
+ * @param tracker             what was seen of upstreams
+ * @param chooser             chooses upstreams
+ * @param coldAdmission       parts what cold upstreams bear among the nodes
+ * @param permits             admits to upstreams that have named a limit
+ * @param retryBudget         bounds repeats
+ * @param stageAdmission      decides when stages begin
+ * @param fetchTime           how long upstreams take to fetch stage results
+ * @param firstEventLatencies how long upstreams take after the stages
+ * @param streamDurations     how long streams take after their first event
+ * @param isolation           tells whether this node is cut off from the others
+ * @param openRequests        requests in progress
+ * @param counters            counts requests
+ * @param log                 bounds log lines
+ * @param random              draws pools by weight
+ * @param retryAfterDelays    when refused callers should come back
+ * @param quarantine          holds requests off that end their upstreams
  */
 record GatewayContext(
         TimerService timers,
@@ -48,17 +48,17 @@
         DirectoryGossip gossip,
         UpstreamTracker tracker,
         UpstreamChooser chooser,
-        ColdAdmission cold,
+        ColdAdmission coldAdmission,
         SendPermits permits,
-        SharedRetryBudget budget,
-        StageGate gate,
-        FetchTime fetches,
-        FirstEventTimes firstEvents,
-        StreamTimes streamTimes,
-        CutOffWatch cutOff,
-        OpenRequests open,
+        SharedRetryBudget retryBudget,
+        StageGate stageAdmission,
+        FetchTime fetchTime,
+        FirstEventTimes firstEventLatencies,
+        StreamTimes streamDurations,
+        CutOffWatch isolation,
+        OpenRequests openRequests,
         GatewayCounters counters,
         DecisionLog log,
         RandomGenerator random,
-        ReturnTimes returns,
+        ReturnTimes retryAfterDelays,
         RequestQuarantine quarantine) {}
--- a/library/src/main/java/org/copperspindle/gateway/GatewayCounters.java
+++ b/library/src/main/java/org/copperspindle/gateway/GatewayCounters.java
@@ -27,12 +27,12 @@
     private long attempts;
     private long repeats;
 
-    void begun() {
+    void recordStart() {
         open++;
     }
 
     /** Counts the end of an admitted request. */
-    void ended(String route, String account, String outcome, long nanos) {
+    void recordEnd(String route, String account, String outcome, long nanos) {
         open--;
         String result = isServed(outcome) ? "served" : "failed";
         accounts.computeIfAbsent(keptAccount(account), a -> new TreeMap<>()).merge(result, 1L, Long::sum);
@@ -47,7 +47,7 @@
     }
 
     /** Counts an attempt, and how long its request waited for it. */
-    void attempt(String route, boolean repeat, long waitedNanos) {
+    void recordAttempt(String route, boolean repeat, long waitedNanos) {
         attempts++;
         if (repeat) {
             repeats++;
--- a/library/src/main/java/org/copperspindle/gateway/GatewayDialects.java
+++ b/library/src/main/java/org/copperspindle/gateway/GatewayDialects.java
@@ -16,21 +16,21 @@
      *
      * @return the dialect
      */
-    CallerDialect callers();
+    CallerDialect callerDialect();
 
     /**
      * Returns how upstreams are told what to run.
      *
      * @return the dialect
      */
-    UpstreamDialect upstreams();
+    UpstreamDialect upstreamDialect();
 
     /**
      * Returns the reader of configurations.
      *
      * @return the reader
      */
-    RouteTableReader tables();
+    RouteTableReader tableReader();
 
     /**
      * Makes what speaks to the upstreams of stage pools.
@@ -39,7 +39,7 @@
      * @param timers time on the network thread
      * @return the port
      */
-    StagePort stages(UpstreamPort port, TimerService timers);
+    StagePort stagePort(UpstreamPort port, TimerService timers);
 
     /**
      * Makes the door for operators and upstreams.
@@ -47,5 +47,5 @@
      * @param desk what they may ask for
      * @return answers their requests
      */
-    HttpRequestHandler control(ControlDesk desk);
+    HttpRequestHandler controlEndpoint(ControlDesk desk);
 }
--- a/library/src/main/java/org/copperspindle/gateway/GatewayMetrics.java
+++ b/library/src/main/java/org/copperspindle/gateway/GatewayMetrics.java
@@ -82,7 +82,7 @@
                 metrics,
                 "requests.held",
                 "Requests held before their first stage",
-                n -> n.gate().held());
+                n -> n.gate().deferredCount());
         gauge(
                 metrics,
                 "pieces.waiting",
@@ -97,12 +97,12 @@
                 metrics,
                 "requests.suspected",
                 "Requests under which upstreams ended, held off or not",
-                n -> n.quarantine().remembered());
+                n -> n.quarantine().trackedRequests());
         gauge(
                 metrics,
                 "requests.held.off",
                 "Requests that are held off because upstreams ended under them",
-                n -> n.quarantine().held().size());
+                n -> n.quarantine().quarantined().size());
         metrics.counter(
                 "permits.unanswered",
                 "Questions for a permit to send that got no answer",
@@ -112,7 +112,7 @@
                 "upstreams.ended",
                 "Upstreams that ended under runs of this node",
                 node,
-                n -> n.quarantine().upstreamsEnded());
+                n -> n.quarantine().terminatedUpstreams());
         gauge(
                 metrics,
                 "upstreams.limited",
@@ -233,7 +233,7 @@
                 "retries.left",
                 "Repeats that this node may still send in the window",
                 node,
-                n -> n.budget().left(pool, System.nanoTime()),
+                n -> n.budget().remaining(pool, System.nanoTime()),
                 "pool",
                 pool);
     }
--- a/library/src/main/java/org/copperspindle/gateway/GatewayNode.java
+++ b/library/src/main/java/org/copperspindle/gateway/GatewayNode.java
@@ -146,7 +146,8 @@
         this.gossip = new DirectoryGossip(mesh, timers, directory);
         this.exchange = new EditionExchange(mesh, timers, loop);
         Duration lease = Duration.ofNanos((long) (settings.revocation().toNanos() * LEASE_SHARE));
-        this.holder = new EditionHolder(timers, dialects.tables(), lease, new SuspensionWatch(), exchange::ask);
+        this.holder =
+                new EditionHolder(timers, dialects.tableReader(), lease, new SuspensionWatch(), exchange::requestLease);
         exchange.holder(holder);
         DecisionLog log = new DecisionLog(SERVED_LINES, FAILED_LINES);
         DirectClient client = new DirectClient(
@@ -155,32 +156,32 @@
         this.upstreamLimits = new UpstreamLimits(directory, log);
         this.upstreamRests = new UpstreamRests(directory, log);
         UpstreamPort port =
-                new ObservedPort(client, dialects.upstreams(), upstreamLimits, upstreamRests, gossip, timers);
+                new ObservedPort(client, dialects.upstreamDialect(), upstreamLimits, upstreamRests, gossip, timers);
         MeshRelay relay = new MeshRelay(mesh, registry);
         this.batches = new BatchService(
                 relay,
                 timers,
                 directory,
-                dialects.stages(port, timers),
-                pool -> holder.heldTable().flatMap(t -> t.findPool(pool)).flatMap(UpstreamPool::batch),
+                dialects.stagePort(port, timers),
+                pool -> holder.heldTable().flatMap(t -> t.findPool(pool)).flatMap(UpstreamPool::batchLimits),
                 new Packer(),
                 log);
         relay.listener(batches);
         mesh.subscribe(relay);
         LimitKeepers keepers = new LimitKeepers(mesh, this::serves, cutOff, directory, batches, holder::heldTable);
         this.permits = new SendPermits(upstreamLimits, keepers, new MeshLink(mesh), timers);
-        batches.admittedBy(new RestrainedCalls(permits, upstreamRests, timers));
+        batches.limitCallsWith(new RestrainedCalls(permits, upstreamRests, timers));
         this.budget = new SharedRetryBudget(
                 settings.retries().ratio(),
                 settings.retries().slack(),
                 settings.retries().window());
         FirstEventTimes firstEvents = new FirstEventTimes();
-        ColdAdmission cold = new SenderSetAdmission(mesh.self(), mesh::serving, cutOff::isCutOff);
+        ColdAdmission cold = new SenderSetAdmission(mesh.self(), mesh::serving, cutOff::isIsolated);
         StageGate gate = new StageGate(batches::load, firstEvents);
         GatewayContext context = new GatewayContext(
                 timers,
-                dialects.callers(),
-                dialects.upstreams(),
+                dialects.callerDialect(),
+                dialects.upstreamDialect(),
                 port,
                 batches,
                 gossip,
@@ -217,7 +218,7 @@
         ControlDesk desk = new ControlDesk(
                 gossip,
                 questions,
-                dialects.tables(),
+                dialects.tableReader(),
                 holder::heldTable,
                 ignored,
                 quarantine,
@@ -225,7 +226,10 @@
         this.callers = new HttpListener(group, settings.callers(), this::callerLimits, service);
         this.readiness = new HttpListener(group, settings.readiness(), () -> HttpLimits.DEFAULT, this::answerReadiness);
         this.control = new HttpListener(
-                group, settings.control(), () -> HttpLimits.DEFAULT.withMaxBody(CONTROL_BODY), dialects.control(desk));
+                group,
+                settings.control(),
+                () -> HttpLimits.DEFAULT.withMaxBody(CONTROL_BODY),
+                dialects.controlEndpoint(desk));
         NodeState state = new NodeState(
                 this::serves,
                 mesh,
@@ -338,7 +342,7 @@
             }
         });
         directory.subscribe(this::upstreamChanged);
-        holder.subscribe(table -> directory.coldTimes(table.coldNanosByPool()));
+        holder.subscribe(table -> directory.setColdTimes(table.coldNanosByPool()));
         holder.subscribeEvacuations(news -> directory.evacuate(Set.copyOf(news.failureDomains()), timers.nanoTime()));
     }
 
@@ -346,12 +350,12 @@
         if (news.phase() == UpstreamPhase.GONE) {
             tracker.forget(news.id());
         } else {
-            tracker.heard(news.id(), news.incarnation());
+            tracker.updateIncarnation(news.id(), news.incarnation());
         }
     }
 
     private void keepMember(Path folder) {
-        MeshRoster roster = new MeshRoster(mesh, timers, settings.firstStart(), settings.tolerated());
+        MeshRoster roster = new MeshRoster(mesh, timers, settings.firstStart(), settings.toleratedLosses());
         mesh.subscribe(roster);
         Supplier<WireTransport> transports = () -> new WireTransport(group, registry, greeting, MeshSettings.LIMITS);
         member = Optional.of(new GroupMember(settings, folder, roster, exchange, transports, loop));
@@ -394,8 +398,8 @@
                     uptime().toMillis());
             mesh.announce();
         }
-        permits.look();
-        upstreamRests.look();
+        permits.removeStale();
+        upstreamRests.removeStale();
         timers.schedule(TICK.toNanos(), this::tick);
     }
 
--- a/library/src/main/java/org/copperspindle/gateway/GatewayService.java
+++ b/library/src/main/java/org/copperspindle/gateway/GatewayService.java
@@ -96,7 +96,7 @@
                 route.get(),
                 request.deadlineMillis(),
                 waited,
-                context.streamTimes().nanos(route.get()),
+                context.streamDurations().expectedNanos(route.get()),
                 arrivedAt);
         AdmittedRequest admitted = new AdmittedRequest(request, table.get(), route.get(), account, pool, times);
         new RequestRun(context, exchange, admitted).start();
--- a/library/src/main/java/org/copperspindle/gateway/GatewaySettings.java
+++ b/library/src/main/java/org/copperspindle/gateway/GatewaySettings.java
@@ -10,23 +10,23 @@
 /**
  * Settings of a node that stands directly before upstreams.
  *
- * @param name          name of the process, for logs
- * @param failureDomain its failure domain
- * @param callers       where callers connect
- * @param readiness     where a balancer asks whether the node is ready
- * @param control       where operators and upstreams connect
- * @param mesh          where other nodes connect; the next port is taken by the control group
- * @param meshBind      where it listens for other nodes, if a forwarder stands before that; the next port as well
- * @param metrics       where metrics are read, if anywhere
- * @param seeds         mesh addresses of a few nodes
- * @param dataFolder    folder on a disk; a node that has one is a member of the control group
- * @param firstStart    true only when the whole deployment starts for the first time, with empty disks
- * @param tolerated     members of the control group whose loss at once must be borne
- * @param revocation    time after which a key that was taken away must be dead everywhere
- * @param retries       bound on repeats
- * @param stopGrace     time from the order to stop to the end of the process
- * @param cores         cores of its VM that the process may use, a fraction for less than one
- * @param failureDomains names of all failure domains of the deployment, as far as they are known beforehand
+ * @param name            name of the process, for logs
+ * @param failureDomain   its failure domain
+ * @param callers         where callers connect
+ * @param readiness       where a balancer asks whether the node is ready
+ * @param control         where operators and upstreams connect
+ * @param mesh            where other nodes connect; the next port is taken by the control group
+ * @param meshBind        where it listens for other nodes, if a forwarder stands before that; the next port as well
+ * @param metrics         where metrics are read, if anywhere
+ * @param seeds           mesh addresses of a few nodes
+ * @param dataFolder      folder on a disk; a node that has one is a member of the control group
+ * @param firstStart      true only when the whole deployment starts for the first time, with empty disks
+ * @param toleratedLosses members of the control group whose loss at once must be borne
+ * @param revocation      time after which a key that was taken away must be dead everywhere
+ * @param retries         bound on repeats
+ * @param stopGrace       time from the order to stop to the end of the process
+ * @param cores           cores of its VM that the process may use, a fraction for less than one
+ * @param failureDomains  names of all failure domains of the deployment, as far as they are known beforehand
  */
 public record GatewaySettings(
         String name,
@@ -40,7 +40,7 @@
         List<InetSocketAddress> seeds,
         Optional<Path> dataFolder,
         boolean firstStart,
-        int tolerated,
+        int toleratedLosses,
         Duration revocation,
         RetryLimits retries,
         Duration stopGrace,
--- a/library/src/main/java/org/copperspindle/gateway/GracefulStop.java
+++ b/library/src/main/java/org/copperspindle/gateway/GracefulStop.java
@@ -53,7 +53,7 @@
         long last = grace - STOP_RESERVE.toNanos();
         timers.schedule(BALANCER_NOTICE.toNanos(), service::refuseAll);
         timers.schedule((long) (grace * UNSENT_SHARE), open::refuseUnsent);
-        timers.schedule(last, open::endAll);
+        timers.schedule(last, open::abortAll);
         long end = timers.nanoTime() + last;
         timers.schedule(BALANCER_NOTICE.toNanos(), () -> awaitIdle(end, done));
     }
--- a/library/src/main/java/org/copperspindle/gateway/GroupMember.java
+++ b/library/src/main/java/org/copperspindle/gateway/GroupMember.java
@@ -102,7 +102,7 @@
     /** Hands on what the member has recorded. */
     private final class Recorded implements EditionObserver {
         @Override
-        public void onEdition(EditionMessage edition) {
+        public void onVersion(EditionMessage edition) {
             grouped = true;
             network.execute(() -> exchange.recorded(edition));
         }
--- a/library/src/main/java/org/copperspindle/gateway/GroupQuestions.java
+++ b/library/src/main/java/org/copperspindle/gateway/GroupQuestions.java
@@ -41,7 +41,7 @@
     private ControlAnswer translate(EditionResult result) {
         if (result instanceof EditionResult.Recorded recorded) {
             return new ControlAnswer.Recorded(
-                    recorded.held().version(), recorded.held().edition().map(EditionMessage::text));
+                    recorded.held().version(), recorded.held().newestVersion().map(EditionMessage::text));
         }
         if (result instanceof EditionResult.Refused refused) {
             return new ControlAnswer.Invalid(refused.reason());
--- a/library/src/main/java/org/copperspindle/gateway/KnownDomains.java
+++ b/library/src/main/java/org/copperspindle/gateway/KnownDomains.java
@@ -37,6 +37,6 @@
                 || own.equals(name)
                 || mesh.nodes().stream()
                         .anyMatch(node -> node.hello().failureDomain().equals(name))
-                || directory.hasDomain(name);
+                || directory.hasFailureDomain(name);
     }
 }
--- a/library/src/main/java/org/copperspindle/gateway/LimitKeepers.java
+++ b/library/src/main/java/org/copperspindle/gateway/LimitKeepers.java
@@ -54,17 +54,17 @@
     }
 
     @Override
-    public Optional<String> keeper(String upstream) {
-        if (cutOff.isCutOff()) {
+    public Optional<String> owner(String upstream) {
+        if (cutOff.isIsolated()) {
             // The others go on with a keeper of their own.
             return Optional.empty();
         }
-        return directory.find(upstream).map(UpstreamNews::pool).flatMap(pool -> keeper(upstream, pool));
+        return directory.find(upstream).map(UpstreamNews::pool).flatMap(pool -> owner(upstream, pool));
     }
 
-    private Optional<String> keeper(String upstream, String pool) {
+    private Optional<String> owner(String upstream, String pool) {
         if (isStagePool(pool)) {
-            return Optional.of(batches.packer(pool));
+            return Optional.of(batches.dispatcherNode(pool));
         }
         List<String> nodes = mesh.serving();
         String best = serves.getAsBoolean() ? mesh.self() : "";
@@ -78,7 +78,7 @@
     private boolean isStagePool(String pool) {
         return table.get()
                 .flatMap(held -> held.findPool(pool))
-                .flatMap(UpstreamPool::batch)
+                .flatMap(UpstreamPool::batchLimits)
                 .isPresent();
     }
 }
--- a/library/src/main/java/org/copperspindle/gateway/ObservedPort.java
+++ b/library/src/main/java/org/copperspindle/gateway/ObservedPort.java
@@ -59,10 +59,10 @@
         public void onHead(DirectHead head) {
             String speaker = dialect.otherUpstream(head).orElse(call.upstream());
             long now = timers.nanoTime();
-            limits.answered(speaker, dialect.limit(head), sentAt, now);
-            rests.answered(speaker, dialect.rest(head), !dialect.provesNotRun(head), now);
+            limits.onResponse(speaker, dialect.limit(head), sentAt, now);
+            rests.onResponse(speaker, dialect.backoff(head), !dialect.provesNotRun(head), now);
             if (dialect.isLeaving(head)) {
-                gossip.leaving(speaker);
+                gossip.onLeaving(speaker);
             }
             listener.onHead(head);
         }
--- a/library/src/main/java/org/copperspindle/gateway/OpenRequests.java
+++ b/library/src/main/java/org/copperspindle/gateway/OpenRequests.java
@@ -37,7 +37,7 @@
     }
 
     /** Ends the rest: the process is about to end. */
-    void endAll() {
+    void abortAll() {
         if (!runs.isEmpty()) {
             LOGGER.warn("event=stop-ends open={}", runs.size());
         }
--- a/library/src/main/java/org/copperspindle/gateway/RequestRun.java
+++ b/library/src/main/java/org/copperspindle/gateway/RequestRun.java
@@ -81,16 +81,16 @@
 
     /** Begins; the answer comes later. */
     void start() {
-        context.counters().begun();
-        context.open().add(this);
-        context.budget().requested(pool, beganAt);
+        context.counters().recordStart();
+        context.openRequests().add(this);
+        context.retryBudget().recordRequest(pool, beganAt);
         lines.admitted();
         timeout = context.timers().schedule(endAt - context.timers().nanoTime(), this::timedOut);
         exchange.onClosed(this::callerLeft);
         if (over) {
             return;
         }
-        if (context.quarantine().isHeld(watched)) {
+        if (context.quarantine().isQuarantined(watched)) {
             holdOff();
         } else if (route.stages().isEmpty()) {
             attempt();
@@ -130,7 +130,7 @@
     public void onStagesDone() {
         if (stageRuns == 1 && !route.stages().isEmpty()) {
             long now = context.timers().nanoTime();
-            context.gate().ran(route, reckonedNanos, now - begunAt, now);
+            context.stageAdmission().ran(route, reckonedNanos, now - begunAt, now);
         }
         attempt();
     }
@@ -157,7 +157,7 @@
         if (over) {
             return;
         }
-        if (context.cutOff().isCutOff()) {
+        if (context.isolation().isIsolated()) {
             // Packing calls by itself, it would get into the way of the nodes that go on without it.
             refuse(unavailable("cut-off", "this node does not reach the others"));
             return;
@@ -166,10 +166,10 @@
         OptionalLong tooLate = AttemptTurn.tooLateNanos(context, admitted, tried, now);
         if (tooLate.isPresent()) {
             // Its stages would be made for nothing.
-            refuse(Refusal.inNeed(context.returns().after(tooLate.getAsLong())));
+            refuse(Refusal.inNeed(context.retryAfterDelays().after(tooLate.getAsLong())));
             return;
         }
-        GateJudgement judgement = context.gate().judge(admitted, held, now);
+        GateJudgement judgement = context.stageAdmission().judge(admitted, held, now);
         GateVerdict verdict = judgement.verdict();
         lines.gate(judgement, held, now);
         if (verdict == GateVerdict.HOLD) {
@@ -186,14 +186,15 @@
             refuse(Refusal.unavailable(
                     "stages-full",
                     "the stages have no room for the request in its time",
-                    context.returns().afterBurst(endAt - context.timers().nanoTime())));
+                    context.retryAfterDelays()
+                            .afterBurst(endAt - context.timers().nanoTime())));
         }
     }
 
     private void hold(boolean holds) {
         if (held != holds) {
             held = holds;
-            context.gate().held(holds ? 1 : -1);
+            context.stageAdmission().held(holds ? 1 : -1);
         }
     }
 
@@ -224,7 +225,12 @@
         stages.ifPresent(StageRun::end);
         stageRuns++;
         StageRun run = new StageRun(
-                admitted, meantDomain(), context.firstEvents().nanos(route), context.batches(), context.timers(), this);
+                admitted,
+                meantDomain(),
+                context.firstEventLatencies().nanos(route),
+                context.batches(),
+                context.timers(),
+                this);
         stages = Optional.of(run);
         run.start();
     }
@@ -245,7 +251,7 @@
         if (over) {
             return;
         }
-        if (context.quarantine().isHeld(watched)) {
+        if (context.quarantine().isQuarantined(watched)) {
             // Upstreams ended under it while its stages ran.
             holdOff();
             return;
@@ -262,9 +268,9 @@
 
     private void send(UpstreamNews upstream, long now) {
         tried.add(upstream.id());
-        context.cold().taken(upstream.id(), now);
+        context.coldAdmission().recordSend(upstream.id(), now);
         sent++;
-        context.counters().attempt(route.name(), sent > 1, now - beganAt);
+        context.counters().recordAttempt(route.name(), sent > 1, now - beganAt);
         Optional<String> resumeAfter = relay.lastId().isPresent()
                 ? Optional.of(Long.toString(relay.lastId().getAsLong()))
                 : request.resumeAfter();
@@ -278,7 +284,7 @@
                 admitted.rank(),
                 connectionUse());
         lines.attemptSent(sent, upstream, resumeAfter, now);
-        UpstreamRun run = context.quarantine().sent(watched, upstream, lastRun);
+        UpstreamRun run = context.quarantine().startRun(watched, upstream, lastRun);
         lastRun = Optional.of(run);
         UpstreamAttempt next = new UpstreamAttempt(context, admitted, run, sent, relay, owner);
         attempt = Optional.of(next);
@@ -302,7 +308,7 @@
      * their stages.
      */
     private void giveUpResults(StageRun run, UpstreamAttempt reader) {
-        context.timers().schedule(run.fetchNanos(context.fetches()), () -> {
+        context.timers().schedule(run.fetchNanos(context.fetchTime()), () -> {
             if (attempt.filter(a -> a == reader).isPresent()) {
                 run.end();
             }
@@ -330,7 +336,7 @@
     /** What follows an attempt that ran or may have run, and gave no whole answer. */
     private void afterFailure(String reason) {
         mayHaveRun = true;
-        if (context.quarantine().isHeld(watched)) {
+        if (context.quarantine().isQuarantined(watched)) {
             holdOff();
         } else if (route.isIdempotent() && sent < route.maxAttempts() && takeRepeat()) {
             relay.forgetHead();
@@ -343,7 +349,7 @@
     }
 
     private boolean takeRepeat() {
-        return context.budget().take(pool, context.timers().nanoTime());
+        return context.retryBudget().tryAcquire(pool, context.timers().nanoTime());
     }
 
     private void timedOut() {
@@ -389,24 +395,24 @@
     private void end(String outcome, boolean failed) {
         over = true;
         hold(false);
-        context.open().remove(this);
+        context.openRequests().remove(this);
         timeout.cancel();
         turn.ifPresent(AttemptTurn::cancel);
         stages.ifPresent(StageRun::end);
         long now = context.timers().nanoTime();
-        context.counters().ended(route.name(), admitted.accountName(), outcome, now - beganAt);
+        context.counters().recordEnd(route.name(), admitted.accountName(), outcome, now - beganAt);
         lines.ended(outcome, failed, new RequestProgress(sent, unsent, stageRuns, mayHaveRun), relay, now);
     }
 
     private Refusal unavailable(String reason, String title) {
-        return Refusal.unavailable(reason, title, context.returns().soon());
+        return Refusal.unavailable(reason, title, context.retryAfterDelays().soon());
     }
 
     /** What follows from the search for an upstream. */
     private final class TurnOwner implements AttemptTurn.Listener {
         @Override
         public void onTurn(UpstreamNews upstream) {
-            if (context.quarantine().isHeld(watched)) {
+            if (context.quarantine().isQuarantined(watched)) {
                 // Upstreams ended under it while it waited.
                 holdOff();
             } else {
@@ -421,7 +427,7 @@
             } else if (mayHaveRun) {
                 refuse(Refusal.failed("no-other-upstream"));
             } else if (freeNanos.isPresent()) {
-                refuse(Refusal.inNeed(context.returns().after(freeNanos.getAsLong())));
+                refuse(Refusal.inNeed(context.retryAfterDelays().after(freeNanos.getAsLong())));
             } else {
                 refuse(unavailable("no-upstream", "no upstream of the pool can take the request"));
             }
@@ -434,15 +440,15 @@
         public void onFirstEvent(long tookNanos) {
             // The upstream has read its inputs before its first event.
             stages.ifPresent(StageRun::end);
-            context.fetches().sound();
-            context.firstEvents().seen(route, tookNanos);
+            context.fetchTime().recordSuccess();
+            context.firstEventLatencies().seen(route, tookNanos);
             firstEventAt = context.timers().nanoTime();
         }
 
         @Override
         public void onStreamed() {
             attempt = Optional.empty();
-            context.streamTimes().seen(route, context.timers().nanoTime() - firstEventAt);
+            context.streamDurations().seen(route, context.timers().nanoTime() - firstEventAt);
             relay.finish();
             end("streamed", false);
         }
@@ -471,7 +477,7 @@
         public void onInputsLost(String upstream) {
             attempt = Optional.empty();
             if (stages.filter(StageRun::isOver).isPresent()) {
-                context.fetches().tooEarly();
+                context.fetchTime().recordEarlyRelease();
             }
             if (stageRuns < MAX_STAGE_RUNS) {
                 sent--;
@@ -493,7 +499,7 @@
 
         private boolean mayRepeat() {
             return sent < route.maxAttempts()
-                    && context.budget().left(pool, context.timers().nanoTime()) >= 1;
+                    && context.retryBudget().remaining(pool, context.timers().nanoTime()) >= 1;
         }
     }
 }
--- a/library/src/main/java/org/copperspindle/gateway/RequestTimes.java
+++ b/library/src/main/java/org/copperspindle/gateway/RequestTimes.java
@@ -51,7 +51,8 @@
             return Long.MAX_VALUE;
         }
         long longest = Math.max(
-                OBJECTIVES * route.objective().toNanos(), PAUSES * route.pause().toNanos());
+                OBJECTIVES * route.objective().toNanos(),
+                PAUSES * route.maxEventGap().toNanos());
         return Math.max(SHORTEST_PATIENCE_NANOS, longest);
     }
 }
--- a/library/src/main/java/org/copperspindle/gateway/RestrainedCalls.java
+++ b/library/src/main/java/org/copperspindle/gateway/RestrainedCalls.java
@@ -23,18 +23,18 @@
 
     @Override
     public boolean mayCall(String upstream) {
-        return !isAtRest(upstream) && permits.mayTake(upstream);
+        return !isBackingOff(upstream) && permits.mayTake(upstream);
     }
 
     @Override
-    public void calls(String upstream) {
+    public void recordCall(String upstream) {
         permits.take(upstream);
     }
 
     @Override
-    public boolean isAtRest(String upstream) {
+    public boolean isBackingOff(String upstream) {
         // Asked of each upstream whenever a pool is looked at: the clock is read only where somebody rests.
-        return rests.isAnyKnown() && rests.restNanos(upstream, timers.nanoTime()) > 0;
+        return rests.isAnyKnown() && rests.backoffNanos(upstream, timers.nanoTime()) > 0;
     }
 
     @Override
--- a/library/src/main/java/org/copperspindle/gateway/SharedIdleConnections.java
+++ b/library/src/main/java/org/copperspindle/gateway/SharedIdleConnections.java
@@ -54,7 +54,7 @@
 
     private int share(UpstreamPool pool) {
         // One node calls the upstreams of a stage pool.
-        int sharing = pool.batch().isPresent() ? 1 : nodes.getAsInt();
+        int sharing = pool.batchLimits().isPresent() ? 1 : nodes.getAsInt();
         return (int) Math.min(MOST, pool.maxConnections() * IDLE_PART / sharing);
     }
 }
--- a/library/src/main/java/org/copperspindle/gateway/SharedRetryBudget.java
+++ b/library/src/main/java/org/copperspindle/gateway/SharedRetryBudget.java
@@ -52,7 +52,7 @@
      * @param pool pool that it goes to
      * @param now  monotonic time in nanoseconds
      */
-    public void requested(String pool, long now) {
+    public void recordRequest(String pool, long now) {
         window(pool).requests.add(now);
     }
 
@@ -63,8 +63,8 @@
      * @param now  monotonic time in nanoseconds
      * @return false if none is left
      */
-    public boolean take(String pool, long now) {
-        if (left(pool, now) < 1) {
+    public boolean tryAcquire(String pool, long now) {
+        if (remaining(pool, now) < 1) {
             return false;
         }
         window(pool).repeats.add(now);
@@ -78,7 +78,7 @@
      * @param now  monotonic time in nanoseconds
      * @return a count, perhaps a fraction
      */
-    public double left(String pool, long now) {
+    public double remaining(String pool, long now) {
         Window window = window(pool);
         double allowed = USED * (ratio * window.requests.sum(now) + slack / nodes);
         return allowed - window.repeats.sum(now);
--- a/library/src/main/java/org/copperspindle/gateway/StageForecaster.java
+++ b/library/src/main/java/org/copperspindle/gateway/StageForecaster.java
@@ -55,7 +55,7 @@
     static long expectedNanos(AdmittedRequest request, StagePlan plan, int stage) {
         return request.stageLimits(stage)
                 .map((BatchLimits limits) ->
-                        limits.expectedNanos(Math.min(limits.batch(), SHARED_CALL * plan.pieces(stage))))
+                        limits.expectedNanos(Math.min(limits.maxPieces(), SHARED_CALL * plan.pieces(stage))))
                 .orElse(0L);
     }
 
@@ -69,8 +69,8 @@
         long wait = loads.apply(pool).waitNanos();
         return request.stageLimits(stage)
                 .map(limits -> {
-                    long waiting = wait * limits.batch() / limits.fullCallNanos();
-                    long pieces = Math.min(limits.batch(), SHARED_CALL * plan.pieces(stage) + waiting);
+                    long waiting = wait * limits.maxPieces() / limits.fullCallNanos();
+                    long pieces = Math.min(limits.maxPieces(), SHARED_CALL * plan.pieces(stage) + waiting);
                     return limits.expectedNanos((int) pieces);
                 })
                 .orElse(0L);
@@ -81,7 +81,7 @@
         PoolLoad load = loads.apply(pool);
         long ahead = load.waitNanos();
         if (load.piecesPerSecond() > 0) {
-            ahead += (long) (load.promised() / load.piecesPerSecond() * NANOS_PER_SECOND);
+            ahead += (long) (load.expectedPieces() / load.piecesPerSecond() * NANOS_PER_SECOND);
         }
         return Math.max(0, ahead - begin);
     }
--- a/library/src/main/java/org/copperspindle/gateway/StageGate.java
+++ b/library/src/main/java/org/copperspindle/gateway/StageGate.java
@@ -121,7 +121,7 @@
         held += change;
     }
 
-    int held() {
+    int deferredCount() {
         return held;
     }
 
--- a/library/src/main/java/org/copperspindle/gateway/StageInputs.java
+++ b/library/src/main/java/org/copperspindle/gateway/StageInputs.java
@@ -51,7 +51,7 @@
 
     private Map<String, Long> byDomain(UpstreamDirectory directory) {
         Map<String, Long> domains = new HashMap<>();
-        bytes.forEach((handle, size) -> ResultHandle.makerAddress(handle)
+        bytes.forEach((handle, size) -> ResultHandle.producerAddress(handle)
                 .flatMap(directory::findByAddress)
                 .map(UpstreamNews::failureDomain)
                 .ifPresent(domain -> domains.merge(domain, size, Long::sum)));
--- a/library/src/main/java/org/copperspindle/gateway/StageRun.java
+++ b/library/src/main/java/org/copperspindle/gateway/StageRun.java
@@ -83,7 +83,7 @@
         targetAt = target(timers.nanoTime());
         for (int stage = 0; stage < plan.stages(); stage++) {
             if (plan.pieces(stage) > 0) {
-                batches.promise(admitted.stagePool(stage), plan.pieces(stage));
+                batches.addExpectedPieces(admitted.stagePool(stage), plan.pieces(stage));
                 promised.add(stage);
             }
         }
@@ -119,7 +119,7 @@
     void end() {
         over = true;
         nextLook.cancel();
-        promised.forEach(stage -> batches.promise(admitted.stagePool(stage), -plan.pieces(stage)));
+        promised.forEach(stage -> batches.addExpectedPieces(admitted.stagePool(stage), -plan.pieces(stage)));
         promised.clear();
         open.forEach(batches::cancel);
         open.clear();
@@ -147,7 +147,7 @@
         nextLook.cancel();
         nextLookAt = Long.MAX_VALUE;
         for (int stage : plan.begin(this::isDue)) {
-            batches.promise(admitted.stagePool(stage), -plan.pieces(stage));
+            batches.addExpectedPieces(admitted.stagePool(stage), -plan.pieces(stage));
             promised.remove(stage);
             submit(stage);
         }
--- a/library/src/main/java/org/copperspindle/gateway/StreamTimes.java
+++ b/library/src/main/java/org/copperspindle/gateway/StreamTimes.java
@@ -22,7 +22,7 @@
     }
 
     /** Returns the time that is to be expected, in nanoseconds; 0 before the first stream has ended. */
-    long nanos(Route route) {
+    long expectedNanos(Route route) {
         return means.getOrDefault(route.name(), 0.0).longValue();
     }
 }
--- a/library/src/main/java/org/copperspindle/gateway/UpstreamAttempt.java
+++ b/library/src/main/java/org/copperspindle/gateway/UpstreamAttempt.java
@@ -114,7 +114,7 @@
             notRun(answer);
         } else {
             close(true, "");
-            context.quarantine().outlived(run);
+            context.quarantine().onSurvived(run);
             if (streams) {
                 owner.onStreamed();
             } else {
@@ -129,8 +129,8 @@
             return;
         }
         if (failure.sent()) {
-            if (failure.lost()) {
-                lose(failure.reason(), !failure.unseen());
+            if (failure.connectionLost()) {
+                lose(failure.reason(), !failure.possiblyStale());
             } else {
                 fail(failure.reason());
             }
@@ -147,9 +147,9 @@
         note("not-run", "status-" + answer.status());
         if (other.isPresent() && !other.get().equals(upstream.id())) {
             // The address belongs to another upstream now: nothing reached the one that was meant.
-            context.gossip().left(upstream.id(), upstream.incarnation(), "address-answers-for-another");
+            context.gossip().onLeft(upstream.id(), upstream.incarnation(), "address-answers-for-another");
             owner.onNotRun("upstream-replaced", false);
-        } else if (context.upstreams().lacksInputs(answer)) {
+        } else if (context.upstreams().reportsMissingInputs(answer)) {
             owner.onInputsLost(upstream.id());
         } else {
             owner.onNotRun("upstream-status-" + answer.status(), true);
@@ -178,7 +178,7 @@
     private void lose(String reason, boolean wasThere) {
         close(false, reason);
         note("failed", reason);
-        context.quarantine().lost(run, wasThere, () -> owner.onFailure(reason));
+        context.quarantine().onConnectionFailure(run, wasThere, () -> owner.onFailure(reason));
     }
 
     private void close(boolean good, String reason) {
@@ -201,7 +201,7 @@
                     upstream.id(),
                     reason,
                     (now - sentAt) / NANOS_PER_MILLI,
-                    (long) context.budget().left(admitted.pool(), now),
+                    (long) context.retryBudget().remaining(admitted.pool(), now),
                     run.request().digest().text());
         }
     }
--- a/library/src/main/java/org/copperspindle/gateway/UpstreamChooser.java
+++ b/library/src/main/java/org/copperspindle/gateway/UpstreamChooser.java
@@ -147,7 +147,7 @@
             return OptionalLong.empty();
         }
         return sound(pool, tried, now).stream()
-                .mapToLong(u -> Math.max(rests.restNanos(u.id(), now), permits.deniedNanos(u.id())))
+                .mapToLong(u -> Math.max(rests.backoffNanos(u.id(), now), permits.deniedNanos(u.id())))
                 .min();
     }
 
@@ -191,7 +191,7 @@
                 .filter(u -> rests.mayTake(u.id(), tracker.inFlight(u.id()), now))
                 .toList();
         List<UpstreamNews> heard = usable.stream()
-                .filter(u -> directory.silence(u.id(), now) < SILENT_NANOS)
+                .filter(u -> directory.silenceNanos(u.id(), now) < SILENT_NANOS)
                 .toList();
         // All silent at once means that this node is cut off from announcements, not that all have died.
         return heard.isEmpty() ? usable : heard;
--- a/library/src/main/java/org/copperspindle/gateway/UpstreamDialect.java
+++ b/library/src/main/java/org/copperspindle/gateway/UpstreamDialect.java
@@ -36,7 +36,7 @@
      * @param head the answer's head
      * @return true if they have to be made again
      */
-    boolean lacksInputs(DirectHead head);
+    boolean reportsMissingInputs(DirectHead head);
 
     /**
      * Finds the upstream that answered in place of the one that was meant.
@@ -60,7 +60,7 @@
      * @param head the answer's head
      * @return what it says of it
      */
-    RestSignal rest(DirectHead head);
+    RestSignal backoff(DirectHead head);
 
     /**
      * Says whether the upstream that answered is about to leave.
--- a/library/src/main/java/org/copperspindle/gateway/UpstreamTracker.java
+++ b/library/src/main/java/org/copperspindle/gateway/UpstreamTracker.java
@@ -113,7 +113,7 @@
      * @param id          its id
      * @param incarnation when that life began
      */
-    public void heard(String id, long incarnation) {
+    public void updateIncarnation(String id, long incarnation) {
         Seen seen = seen(id);
         if (seen.incarnation != incarnation && seen.paused) {
             LOGGER.info("event=upstream-restarted upstream={} incarnation={}", id, incarnation);
--- a/library/src/main/java/org/copperspindle/limits/AdaptiveEntryPolicy.java
+++ b/library/src/main/java/org/copperspindle/limits/AdaptiveEntryPolicy.java
@@ -53,19 +53,19 @@
     }
 
     @Override
-    public void rateShare(double fraction, long now) {
-        admission.rateShare(fraction, now);
+    public void setRateShare(double fraction, long now) {
+        admission.setRateShare(fraction, now);
     }
 
     @Override
-    public Optional<Refusal> refuse(PipelineRequest request, long now) {
+    public Optional<Refusal> tryAdmit(PipelineRequest request, long now) {
         Optional<Duration> tooLate = foresee(request, now);
         if (tooLate.isPresent()) {
-            return tooLate.map(comeBack -> new Refusal(Refusal.DEADLINE_UNREACHABLE, comeBack));
+            return tooLate.map(retryAfter -> new Refusal(Refusal.DEADLINE_UNREACHABLE, retryAfter));
         }
         return admission
-                .refuse(request.account(), request.priority(), now)
-                .map(comeBack -> new Refusal(Refusal.RATE, comeBack));
+                .tryAdmit(request.account(), request.priority(), now)
+                .map(retryAfter -> new Refusal(Refusal.RATE, retryAfter));
     }
 
     @Override
@@ -148,7 +148,7 @@
     }
 
     @Override
-    public Optional<Duration> hopeless(PipelineRequest request, int stageIndex, long now) {
+    public Optional<Duration> retryAfterIfUnreachable(PipelineRequest request, int stageIndex, long now) {
         long needed = ledger.rest(request.pipeline(), stageIndex, Quantile.P10, now);
         return stageIndex == 0 || needed <= request.deadlineNanos() - now
                 ? Optional.empty()
@@ -156,7 +156,7 @@
     }
 
     @Override
-    public boolean waiting(String pool) {
+    public boolean hasWaiting(String pool) {
         return line(pool).peek().isPresent();
     }
 
@@ -218,8 +218,8 @@
         if (work + wait * NANOS_PER_SECOND <= left || wait == 0) {
             return Optional.empty();
         }
-        Duration comeBack = Duration.ofMillis((long) (wait * MILLIS_PER_SECOND));
-        return Optional.of(comeBack.compareTo(MIN_COME_BACK) < 0 ? MIN_COME_BACK : comeBack);
+        Duration retryAfter = Duration.ofMillis((long) (wait * MILLIS_PER_SECOND));
+        return Optional.of(retryAfter.compareTo(MIN_COME_BACK) < 0 ? MIN_COME_BACK : retryAfter);
     }
 
     /** Lets one request through now and then, or nothing would be learned once a pool is fast again. */
--- a/library/src/main/java/org/copperspindle/limits/AdmissionPolicy.java
+++ b/library/src/main/java/org/copperspindle/limits/AdmissionPolicy.java
@@ -17,7 +17,7 @@
      * @param fraction from 0 to 1
      * @param now      nanoseconds of the timer service
      */
-    void rateShare(double fraction, long now);
+    void setRateShare(double fraction, long now);
 
     /**
      * Decides on one request. An admitted request must be given back with {@link #release}.
@@ -27,7 +27,7 @@
      * @param now      nanoseconds of the timer service
      * @return empty if it is admitted, else when the caller may come back
      */
-    Optional<Duration> refuse(AccountSettings account, Priority priority, long now);
+    Optional<Duration> tryAdmit(AccountSettings account, Priority priority, long now);
 
     /**
      * Gives an admitted request back.
--- a/library/src/main/java/org/copperspindle/limits/EntryPolicy.java
+++ b/library/src/main/java/org/copperspindle/limits/EntryPolicy.java
@@ -29,7 +29,7 @@
      * @param fraction from 0 to 1
      * @param now      nanoseconds of the timer service
      */
-    void rateShare(double fraction, long now);
+    void setRateShare(double fraction, long now);
 
     /**
      * Decides whether a request is taken on. One that is must be given back with {@link #release}.
@@ -38,7 +38,7 @@
      * @param now     nanoseconds of the timer service
      * @return empty if it is admitted, else why not
      */
-    Optional<Refusal> refuse(PipelineRequest request, long now);
+    Optional<Refusal> tryAdmit(PipelineRequest request, long now);
 
     /**
      * Gives an admitted request back.
@@ -134,7 +134,7 @@
      * @param pool the pool
      * @return false if nothing waits
      */
-    default boolean waiting(String pool) {
+    default boolean hasWaiting(String pool) {
         return false;
     }
 
@@ -157,7 +157,7 @@
      * @param now        nanoseconds of the timer service
      * @return when the caller may come back, if they can't; empty if they can
      */
-    default Optional<Duration> hopeless(PipelineRequest request, int stageIndex, long now) {
+    default Optional<Duration> retryAfterIfUnreachable(PipelineRequest request, int stageIndex, long now) {
         return Optional.empty();
     }
 }
--- a/library/src/main/java/org/copperspindle/limits/FixedRateEntryPolicy.java
+++ b/library/src/main/java/org/copperspindle/limits/FixedRateEntryPolicy.java
@@ -25,15 +25,15 @@
     }
 
     @Override
-    public void rateShare(double fraction, long now) {
-        admission.rateShare(fraction, now);
+    public void setRateShare(double fraction, long now) {
+        admission.setRateShare(fraction, now);
     }
 
     @Override
-    public Optional<Refusal> refuse(PipelineRequest request, long now) {
+    public Optional<Refusal> tryAdmit(PipelineRequest request, long now) {
         return admission
-                .refuse(request.account(), request.priority(), now)
-                .map(comeBack -> new Refusal(Refusal.RATE, comeBack));
+                .tryAdmit(request.account(), request.priority(), now)
+                .map(retryAfter -> new Refusal(Refusal.RATE, retryAfter));
     }
 
     @Override
--- a/library/src/main/java/org/copperspindle/limits/RateAdmissionPolicy.java
+++ b/library/src/main/java/org/copperspindle/limits/RateAdmissionPolicy.java
@@ -33,7 +33,7 @@
     }
 
     @Override
-    public void rateShare(double newFraction, long now) {
+    public void setRateShare(double newFraction, long now) {
         if (newFraction == fraction) {
             return;
         }
@@ -43,7 +43,7 @@
     }
 
     @Override
-    public Optional<Duration> refuse(AccountSettings account, Priority priority, long now) {
+    public Optional<Duration> tryAdmit(AccountSettings account, Priority priority, long now) {
         if (inProgress >= maxInProgress * SHARE_BY_PRIORITY[priority.ordinal()]) {
             return Optional.of(Duration.ofSeconds(1));
         }
--- a/library/src/main/java/org/copperspindle/limits/Refusal.java
+++ b/library/src/main/java/org/copperspindle/limits/Refusal.java
@@ -5,10 +5,10 @@
 /**
  * A request that is not taken on.
  *
- * @param reason   why, one word for logs and callers
- * @param comeBack when the caller may come back
+ * @param reason     why, one word for logs and callers
+ * @param retryAfter when the caller may come back
  */
-public record Refusal(String reason, Duration comeBack) {
+public record Refusal(String reason, Duration retryAfter) {
 
     /** The client account or the entry is at its limit. */
     public static final String RATE = "rate";
--- a/library/src/main/java/org/copperspindle/membership/ControlLink.java
+++ b/library/src/main/java/org/copperspindle/membership/ControlLink.java
@@ -146,7 +146,7 @@
      *
      * @return true if the member may serve
      */
-    public boolean held() {
+    public boolean isLeaseHeld() {
         return lease.held(timers.nanoTime());
     }
 
@@ -288,7 +288,7 @@
     }
 
     private void expire() {
-        if (held()) {
+        if (isLeaseHeld()) {
             watchExpiry();
             return;
         }
--- a/library/src/main/java/org/copperspindle/mesh/CutOffWatch.java
+++ b/library/src/main/java/org/copperspindle/mesh/CutOffWatch.java
@@ -42,7 +42,7 @@
      *
      * @return false for a node that has never known others
      */
-    public boolean isCutOff() {
+    public boolean isIsolated() {
         long now = timers.nanoTime();
         lost.values().removeIf(at -> now - at > RECENT_NANOS);
         int seen = 1 + connected.getAsInt();
--- a/library/src/main/java/org/copperspindle/mesh/MeshRelay.java
+++ b/library/src/main/java/org/copperspindle/mesh/MeshRelay.java
@@ -73,7 +73,7 @@
      * @param address name of the node
      * @return false if nobody who is connected here is connected with it
      */
-    public boolean sees(String address) {
+    public boolean canReach(String address) {
         return mesh.find(address).isPresent() || between(address).isPresent();
     }
 
--- a/library/src/main/java/org/copperspindle/pipeline/PipelineAction.java
+++ b/library/src/main/java/org/copperspindle/pipeline/PipelineAction.java
@@ -73,7 +73,7 @@
 
     /**
      * Wait for an upstream of a pool: call {@link PipelineRun#onCapacity} when one may be used, or
-     * {@link PipelineRun#onHopeless} when it is too late.
+     * {@link PipelineRun#onDeadlineUnreachable} when it is too late.
      *
      * @param pool the pool
      */
--- a/library/src/main/java/org/copperspindle/pipeline/PipelineRun.java
+++ b/library/src/main/java/org/copperspindle/pipeline/PipelineRun.java
@@ -231,7 +231,7 @@
      * @param retryAfter when the caller may come back
      * @return what to do
      */
-    public List<PipelineAction> onHopeless(Duration retryAfter) {
+    public List<PipelineAction> onDeadlineUnreachable(Duration retryAfter) {
         return answered ? List.of() : answer(answers.hopeless(retryAfter));
     }
 
@@ -319,9 +319,9 @@
         if (request.deadlineNanos() - now <= 0) {
             return answer(answers.deadline());
         }
-        Optional<Duration> hopeless = chooser.hopeless(request, stageIndex, now);
+        Optional<Duration> hopeless = chooser.retryAfterIfUnreachable(request, stageIndex, now);
         if (hopeless.isPresent()) {
-            return onHopeless(hopeless.get());
+            return onDeadlineUnreachable(hopeless.get());
         }
         Optional<UpstreamAnnouncement> choice = chooser.choose(stage(), context, tried);
         if (choice.isEmpty() && chooser.mayWait(request, stage())) {
--- a/library/src/main/java/org/copperspindle/pipeline/UpstreamChooser.java
+++ b/library/src/main/java/org/copperspindle/pipeline/UpstreamChooser.java
@@ -91,7 +91,7 @@
      * @param now        nanoseconds of the timer service
      * @return when the caller may come back, if they can't; empty if they can
      */
-    default Optional<Duration> hopeless(PipelineRequest request, int stageIndex, long now) {
+    default Optional<Duration> retryAfterIfUnreachable(PipelineRequest request, int stageIndex, long now) {
         return Optional.empty();
     }
 
--- a/library/src/main/java/org/copperspindle/quarantine/HoldPolicy.java
+++ b/library/src/main/java/org/copperspindle/quarantine/HoldPolicy.java
@@ -37,7 +37,7 @@
 
     private HoldPolicy() {}
 
-    static boolean isHeld(int level, long sinceLastEnd) {
+    static boolean isQuarantined(int level, long sinceLastEnd) {
         return sinceLastEnd < holdNanos(level);
     }
 
--- a/library/src/main/java/org/copperspindle/quarantine/RequestQuarantine.java
+++ b/library/src/main/java/org/copperspindle/quarantine/RequestQuarantine.java
@@ -48,7 +48,7 @@
     private final DeferredTask sweep;
     private final EndedUpstreams endedUpstreams = new EndedUpstreams();
     private final Map<String, PoolSurvival> survival = new HashMap<>();
-    private long upstreamsEnded;
+    private long terminatedUpstreams;
 
     /**
      * Creates the quarantine; to be subscribed to the mesh.
@@ -75,8 +75,8 @@
      * @param request the request
      * @return true while it is held off
      */
-    public boolean isHeld(WatchedRequest request) {
-        return !table.isEmpty() && table.isHeld(request.digest(), timers.nanoTime());
+    public boolean isQuarantined(WatchedRequest request) {
+        return !table.isEmpty() && table.isQuarantined(request.digest(), timers.nanoTime());
     }
 
     /**
@@ -95,9 +95,9 @@
      * @param request  the request
      * @param upstream the upstream
      * @param previous the run before this one in the same attempt of the caller
-     * @return the run, of which {@link #outlived} or {@link #lost} tells the end
+     * @return the run, of which {@link #onSurvived} or {@link #onConnectionFailure} tells the end
      */
-    public UpstreamRun sent(WatchedRequest request, UpstreamNews upstream, Optional<UpstreamRun> previous) {
+    public UpstreamRun startRun(WatchedRequest request, UpstreamNews upstream, Optional<UpstreamRun> previous) {
         Optional<Suspicion> known = find(request);
         return new UpstreamRun(
                 request,
@@ -113,7 +113,7 @@
      *
      * @param run the run
      */
-    public void outlived(UpstreamRun run) {
+    public void onSurvived(UpstreamRun run) {
         long now = timers.nanoTime();
         survival(run.request().pool()).outlived(now);
         endedUpstreams.answered(run.life());
@@ -129,7 +129,7 @@
      * @param known    called when the request may be sent again as far as the quarantine goes: at once, but for a suspected
      *                 request only when it is known whether it ended this upstream as well
      */
-    public void lost(UpstreamRun run, boolean wasThere, Runnable known) {
+    public void onConnectionFailure(UpstreamRun run, boolean wasThere, Runnable known) {
         if (!wasThere) {
             run.mayHaveComeTooLate();
         }
@@ -150,7 +150,7 @@
      *
      * @return in no order
      */
-    public List<HeldRequest> held() {
+    public List<HeldRequest> quarantined() {
         return table.held(timers.nanoTime()).stream().map(HeldRequest::of).toList();
     }
 
@@ -171,7 +171,7 @@
      *
      * @return suspected, held off or cleared lately
      */
-    public int remembered() {
+    public int trackedRequests() {
         return table.size();
     }
 
@@ -180,8 +180,8 @@
      *
      * @return since the start
      */
-    public long upstreamsEnded() {
-        return upstreamsEnded;
+    public long terminatedUpstreams() {
+        return terminatedUpstreams;
     }
 
     @Override
@@ -229,7 +229,7 @@
 
     private void upstreamEnded(UpstreamNews upstream, List<UpstreamRun> runs) {
         long now = timers.nanoTime();
-        upstreamsEnded++;
+        terminatedUpstreams++;
         String life = UpstreamLife.of(upstream).text();
         PoolSurvival pool = survival(upstream.pool());
         Set<RequestDigest> ran =
@@ -259,7 +259,7 @@
 
     private boolean accept(Suspicion heard, String from) {
         long now = timers.nanoTime();
-        boolean heldBefore = table.isHeld(heard.digest(), now);
+        boolean heldBefore = table.isQuarantined(heard.digest(), now);
         int levelBefore = table.find(heard.digest(), now).map(Suspicion::level).orElse(0);
         if (!table.accept(heard, now)) {
             return false;
@@ -267,7 +267,7 @@
         sweep.schedule(SWEEP_NANOS);
         endedUpstreams.add(heard.upstreams());
         Suspicion known = table.find(heard.digest(), now).orElse(heard);
-        boolean held = table.isHeld(known.digest(), now);
+        boolean held = table.isQuarantined(known.digest(), now);
         if (held != heldBefore) {
             note(held ? "held-off" : "cleared", known, from);
         } else if (known.level() > levelBefore && !from.equals(TOLD) && log.takesFailed(now)) {
--- a/library/src/main/java/org/copperspindle/quarantine/SuspicionTable.java
+++ b/library/src/main/java/org/copperspindle/quarantine/SuspicionTable.java
@@ -35,9 +35,9 @@
     }
 
     /** Says whether a request is held off. */
-    boolean isHeld(RequestDigest digest, long now) {
+    boolean isQuarantined(RequestDigest digest, long now) {
         Entry entry = entries.get(digest);
-        return entry != null && entry.isHeld(now);
+        return entry != null && entry.isQuarantined(now);
     }
 
     /** Merges what is heard; returns whether it says anything new. */
@@ -63,7 +63,7 @@
     /** Lists what is held off. */
     List<Suspicion> held(long now) {
         return entries.values().stream()
-                .filter(entry -> entry.isHeld(now))
+                .filter(entry -> entry.isQuarantined(now))
                 .map(entry -> entry.told(now))
                 .toList();
     }
@@ -92,8 +92,8 @@
             return new Entry(suspicion, now - Duration.ofMillis(age).toNanos());
         }
 
-        boolean isHeld(long now) {
-            return HoldPolicy.isHeld(suspicion.level(), now - at);
+        boolean isQuarantined(long now) {
+            return HoldPolicy.isQuarantined(suspicion.level(), now - at);
         }
 
         boolean isOver(long now) {
--- a/library/src/main/java/org/copperspindle/replay/ReplayEntry.java
+++ b/library/src/main/java/org/copperspindle/replay/ReplayEntry.java
@@ -116,7 +116,7 @@
         tally.arrived(requestId, traced);
         long now = timers.nanoTime();
         PipelineRequest request = request(requestId, traced, now);
-        Optional<Refusal> refusal = policy.refuse(request, now);
+        Optional<Refusal> refusal = policy.tryAdmit(request, now);
         if (refusal.isPresent()) {
             tally.answered(requestId, false, "refused-" + refusal.get().reason(), now);
             return;
@@ -164,7 +164,7 @@
             cancel(cancel.attemptId(), cancel.upstreamId());
         } else if (action instanceof PipelineAction.Wait) {
             long patience = open.chooser.enqueue(open.request, timers.nanoTime());
-            open.waiting = timers.schedule(patience, () -> perform(open, open.run.onHopeless(COME_BACK)));
+            open.waiting = timers.schedule(patience, () -> perform(open, open.run.onDeadlineUnreachable(COME_BACK)));
         } else if (action instanceof PipelineAction.Answer answer) {
             answer(open, answer.answer());
         }
@@ -337,8 +337,8 @@
         }
 
         @Override
-        public Optional<Duration> hopeless(PipelineRequest request, int stageIndex, long now) {
-            return policy.hopeless(request, stageIndex, now);
+        public Optional<Duration> retryAfterIfUnreachable(PipelineRequest request, int stageIndex, long now) {
+            return policy.retryAfterIfUnreachable(request, stageIndex, now);
         }
 
         @Override
--- a/library/src/main/java/org/copperspindle/route/BatchLimits.java
+++ b/library/src/main/java/org/copperspindle/route/BatchLimits.java
@@ -3,23 +3,23 @@
 /**
  * What one upstream of a stage pool takes.
  *
- * @param slots         calls in progress at once
- * @param queue         calls that may wait
- * @param batch         most pieces of one call
- * @param callNanos     time of a call without its pieces
- * @param pieceNanos    approximate time of one piece
- * @param resultBytes   memory for results
- * @param keptNanos     how long a result is kept after its call unless it is freed
- * @param linkBytesPerSecond over which results are fetched; 0 if not known
+ * @param concurrentCalls      calls in progress at once
+ * @param maxQueuedCalls       calls that may wait
+ * @param maxPieces            most pieces of one call
+ * @param callNanos            time of a call without its pieces
+ * @param pieceNanos           approximate time of one piece
+ * @param resultBytes          memory for results
+ * @param resultRetentionNanos how long a result is kept after its call unless it is freed
+ * @param linkBytesPerSecond   over which results are fetched; 0 if not known
  */
 public record BatchLimits(
-        int slots,
-        int queue,
-        int batch,
+        int concurrentCalls,
+        int maxQueuedCalls,
+        int maxPieces,
         long callNanos,
         long pieceNanos,
         long resultBytes,
-        long keptNanos,
+        long resultRetentionNanos,
         long linkBytesPerSecond) {
 
     /**
@@ -38,6 +38,6 @@
      * @return nanoseconds, approximately
      */
     public long fullCallNanos() {
-        return expectedNanos(batch);
+        return expectedNanos(maxPieces);
     }
 }
--- a/library/src/main/java/org/copperspindle/route/ColdLimits.java
+++ b/library/src/main/java/org/copperspindle/route/ColdLimits.java
@@ -18,7 +18,7 @@
      * @param perSecond requests that it bears in a second; 0 if a cold upstream bears as much as any
      * @return empty without a limit
      */
-    public static Optional<ColdLimits> stated(Duration time, double perSecond) {
+    public static Optional<ColdLimits> ofRate(Duration time, double perSecond) {
         return perSecond > 0 ? Optional.of(new ColdLimits(time, perSecond)) : Optional.empty();
     }
 }
--- a/library/src/main/java/org/copperspindle/route/Route.java
+++ b/library/src/main/java/org/copperspindle/route/Route.java
@@ -18,7 +18,7 @@
  * @param stages      work done before the request runs, by number
  * @param open        true if requests need no key
  * @param resumable   true if a stream may go on at another upstream
- * @param pause       longest pause between events of a stream that is on time, zero for other kinds
+ * @param maxEventGap longest pause between events of a stream that is on time, zero for other kinds
  */
 public record Route(
         String name,
@@ -33,7 +33,7 @@
         List<RouteStage> stages,
         boolean open,
         boolean resumable,
-        Duration pause) {
+        Duration maxEventGap) {
 
     /** Copies the lists. */
     public Route {
--- a/library/src/main/java/org/copperspindle/route/RouteTableCheck.java
+++ b/library/src/main/java/org/copperspindle/route/RouteTableCheck.java
@@ -81,7 +81,7 @@
             if (table.findPool(stage.pool()).isEmpty()) {
                 return problem(route, "stage " + number + " names unknown pool " + stage.pool());
             }
-            if (table.findPool(stage.pool()).orElseThrow().batch().isEmpty()) {
+            if (table.findPool(stage.pool()).orElseThrow().batchLimits().isEmpty()) {
                 return problem(route, "stage " + number + " names pool " + stage.pool() + " that runs no pieces");
             }
             if (stage.after().stream()
--- a/library/src/test/java/org/copperspindle/backpressure/SendPermitsTest.java
+++ b/library/src/test/java/org/copperspindle/backpressure/SendPermitsTest.java
@@ -102,11 +102,11 @@
     void keeperThatDoesNotAnswerDenies() {
         start(5, 1, Trouble.NONE, 1, 5);
         Node keeper =
-                nodes.get(Integer.parseInt(nodes.get(0).keeper().orElseThrow().substring(1)));
+                nodes.get(Integer.parseInt(nodes.get(0).owner().orElseThrow().substring(1)));
         keeper.standsStillUntil = Long.MAX_VALUE;
         Node other = nodes.stream().filter(n -> n != keeper).findFirst().orElseThrow();
         List<PermitResult> results = new ArrayList<>();
-        other.permits.ask(LIMITED, SECOND, results::add);
+        other.permits.requestPermit(LIMITED, SECOND, results::add);
         time.advance(SECOND);
         assertThat(results).hasSize(1).allMatch(PermitResult.Denied.class::isInstance);
         assertThat(other.permits.unanswered()).isEqualTo(1);
@@ -140,7 +140,7 @@
             return;
         }
         Node keeper = nodes.stream()
-                .filter(node -> node.here && node.keeper().equals(Optional.of(node.name)))
+                .filter(node -> node.here && node.owner().equals(Optional.of(node.name)))
                 .findFirst()
                 .orElseThrow();
         if (trouble == Trouble.KEEPER_RESTARTS) {
@@ -176,7 +176,7 @@
         private final long startedAt = time.nanoTime();
         private final UpstreamDirectory directory = new UpstreamDirectory();
         private final UpstreamLimits limits = new UpstreamLimits(directory, new DecisionLog(0, 0));
-        private SendPermits permits = new SendPermits(limits, upstream -> keeper(), this, time);
+        private SendPermits permits = new SendPermits(limits, upstream -> owner(), this, time);
         private boolean here = true;
         private boolean ended;
         private long standsStillUntil;
@@ -210,14 +210,14 @@
         }
 
         private void name(double perSecond) {
-            limits.answered(LIMITED, new LimitSignal.Named(perSecond), 0, time.nanoTime());
+            limits.onResponse(LIMITED, new LimitSignal.Named(perSecond), 0, time.nanoTime());
         }
 
         private void restart() {
-            permits = new SendPermits(limits, upstream -> keeper(), this, time);
+            permits = new SendPermits(limits, upstream -> owner(), this, time);
         }
 
-        private Optional<String> keeper() {
+        private Optional<String> owner() {
             return nodes.stream()
                     .filter(this::sees)
                     .map(node -> node.name)
@@ -236,9 +236,9 @@
                 return;
             }
             if (time.nanoTime() >= standsStillUntil && permits.deniedNanos(LIMITED) == 0) {
-                permits.ask(LIMITED, random.nextInt(2) * SECOND, this::told);
+                permits.requestPermit(LIMITED, random.nextInt(2) * SECOND, this::told);
             }
-            permits.look();
+            permits.removeStale();
             time.schedule((1 + random.nextInt(100)) * MILLI, this::want);
         }
 
--- a/library/src/test/java/org/copperspindle/backpressure/UpstreamLimitsTest.java
+++ b/library/src/test/java/org/copperspindle/backpressure/UpstreamLimitsTest.java
@@ -25,28 +25,28 @@
 
     @Test
     void limitHoldsUntilALaterAnswerLacksIt() {
-        limits.answered("e", LIMIT, 0, 100);
+        limits.onResponse("e", LIMIT, 0, 100);
         assertThat(limits.find("e")).isEqualTo(OptionalDouble.of(1.5));
-        limits.answered("e", new LimitSignal.Named(2), 150, 200);
+        limits.onResponse("e", new LimitSignal.Named(2), 150, 200);
         assertThat(limits.find("e")).isEqualTo(OptionalDouble.of(2));
-        limits.answered("e", LimitSignal.ABSENT, 250, 300);
+        limits.onResponse("e", LimitSignal.ABSENT, 250, 300);
         assertThat(limits.find("e")).isEmpty();
     }
 
     /** Answers without the limit that were written before it arrive after it: the upstream would be flooded again. */
     @Test
     void answerToAnEarlierCallDoesNotEndALimit() {
-        limits.answered("e", LIMIT, 0, 100);
-        limits.answered("e", LimitSignal.ABSENT, 50, 300);
+        limits.onResponse("e", LIMIT, 0, 100);
+        limits.onResponse("e", LimitSignal.ABSENT, 50, 300);
         assertThat(limits.find("e")).isPresent();
     }
 
     @Test
     void unreadableValueChangesNothing() {
-        limits.answered("e", new LimitSignal.Unreadable("x"), 0, 50);
+        limits.onResponse("e", new LimitSignal.Unreadable("x"), 0, 50);
         assertThat(limits.find("e")).isEmpty();
-        limits.answered("e", LIMIT, 0, 100);
-        limits.answered("e", new LimitSignal.Unreadable("x"), 150, 200);
+        limits.onResponse("e", LIMIT, 0, 100);
+        limits.onResponse("e", new LimitSignal.Unreadable("x"), 150, 200);
         assertThat(limits.find("e")).isPresent();
     }
 
@@ -54,7 +54,7 @@
     @ParameterizedTest
     @EnumSource(names = {"READY", "GONE"})
     void nextLifeHasNoLimit(UpstreamPhase phase) {
-        limits.answered("e", LIMIT, 0, 100);
+        limits.onResponse("e", LIMIT, 0, 100);
         announce(phase == UpstreamPhase.READY ? 2 : 1, phase);
         assertThat(limits.find("e")).isEmpty();
         assertThat(limits.count()).isZero();
@@ -62,26 +62,26 @@
 
     @Test
     void upstreamThatIsNotKnownHasNoLimit() {
-        limits.answered("other", LIMIT, 0, 100);
+        limits.onResponse("other", LIMIT, 0, 100);
         assertThat(limits.count()).isZero();
     }
 
     /** Guards against a node that goes on to look for upstreams in need, for each held request, after the last one has recovered. */
     @Test
     void endedLimitIsForgotten() {
-        limits.answered("e", LIMIT, 0, 100);
-        limits.answered("e", LimitSignal.ABSENT, 150, 200);
-        limits.look(1000);
+        limits.onResponse("e", LIMIT, 0, 100);
+        limits.onResponse("e", LimitSignal.ABSENT, 150, 200);
+        limits.removeStale(1000);
         assertThat(limits.isAnyKnown()).isTrue();
-        limits.look(20_000_000_000L);
+        limits.removeStale(20_000_000_000L);
         assertThat(limits.isAnyKnown()).isFalse();
     }
 
     @Test
     void limitOfASilentUpstreamIsForgotten() {
-        limits.answered("e", LIMIT, 0, 100);
+        limits.onResponse("e", LIMIT, 0, 100);
         directory.forgetSilent(100_000_000_000L);
-        limits.look(100_000_000_000L);
+        limits.removeStale(100_000_000_000L);
         assertThat(limits.isAnyKnown()).isFalse();
     }
 
--- a/library/src/test/java/org/copperspindle/backpressure/UpstreamRestsTest.java
+++ b/library/src/test/java/org/copperspindle/backpressure/UpstreamRestsTest.java
@@ -27,7 +27,7 @@
     void restEndsByItself() {
         ask(3, 0);
         assertThat(rests.mayTake("e", 0, SECOND)).isFalse();
-        assertThat(rests.restNanos("e", SECOND)).isEqualTo(2 * SECOND);
+        assertThat(rests.backoffNanos("e", SECOND)).isEqualTo(2 * SECOND);
         assertThat(rests.count(SECOND)).isEqualTo(1);
         assertThat(rests.mayTake("e", 0, 3 * SECOND)).isTrue();
         assertThat(rests.count(3 * SECOND)).isZero();
@@ -38,9 +38,9 @@
     void shorterRestDoesNotEndALongerOne() {
         ask(3, 0);
         ask(1, SECOND);
-        assertThat(rests.restNanos("e", SECOND)).isEqualTo(2 * SECOND);
+        assertThat(rests.backoffNanos("e", SECOND)).isEqualTo(2 * SECOND);
         ask(5, SECOND);
-        assertThat(rests.restNanos("e", SECOND)).isEqualTo(5 * SECOND);
+        assertThat(rests.backoffNanos("e", SECOND)).isEqualTo(5 * SECOND);
     }
 
     /** Guards against an upstream that gets all that was held back in the moment in which its rest ends. */
@@ -51,7 +51,7 @@
         for (int most = 1; most <= 32; most *= 2) {
             assertThat(rests.mayTake("e", most - 1, now)).isTrue();
             assertThat(rests.mayTake("e", most, now)).isFalse();
-            rests.answered("e", RestSignal.ABSENT, true, now);
+            rests.onResponse("e", RestSignal.ABSENT, true, now);
         }
         assertThat(rests.mayTake("e", 1000, now)).isTrue();
     }
@@ -60,7 +60,7 @@
     @Test
     void answerWithinTheRestShowsNothing() {
         ask(3, 0);
-        rests.answered("e", RestSignal.ABSENT, true, SECOND);
+        rests.onResponse("e", RestSignal.ABSENT, true, SECOND);
         assertThat(rests.mayTake("e", 0, SECOND)).isFalse();
         assertThat(rests.mayTake("e", 1, 3 * SECOND)).isFalse();
     }
@@ -68,7 +68,7 @@
     @Test
     void refusalAfterTheRestIsNoSignOfRecovery() {
         ask(3, 0);
-        rests.answered("e", RestSignal.ABSENT, false, 3 * SECOND);
+        rests.onResponse("e", RestSignal.ABSENT, false, 3 * SECOND);
         assertThat(rests.mayTake("e", 1, 3 * SECOND)).isFalse();
     }
 
@@ -77,22 +77,22 @@
     void nextLifeHasNoRest(UpstreamPhase phase) {
         ask(3, 0);
         announce(phase == UpstreamPhase.READY ? 2 : 1, phase);
-        assertThat(rests.restNanos("e", 0)).isZero();
+        assertThat(rests.backoffNanos("e", 0)).isZero();
     }
 
     /** Guards against state that grows with each upstream that crashes while it rests. */
     @Test
     void silentUpstreamIsForgotten() {
         ask(3, 0);
-        rests.look();
+        rests.removeStale();
         assertThat(rests.isAnyKnown()).isTrue();
         directory.forgetSilent(100 * SECOND);
-        rests.look();
+        rests.removeStale();
         assertThat(rests.isAnyKnown()).isFalse();
     }
 
     private void ask(int seconds, long now) {
-        rests.answered("e", new RestSignal.Asked(Duration.ofSeconds(seconds)), false, now);
+        rests.onResponse("e", new RestSignal.Asked(Duration.ofSeconds(seconds)), false, now);
     }
 
     private void announce(long incarnation, UpstreamPhase phase) {
--- a/library/src/test/java/org/copperspindle/batch/FakeStagePort.java
+++ b/library/src/test/java/org/copperspindle/batch/FakeStagePort.java
@@ -56,7 +56,7 @@
                     () -> callback.accept(new StageCallResult.Lost("connection-closed", true)));
             return;
         }
-        if (how == Conduct.REFUSING || queued.getOrDefault(id, 0) > limits.queue()) {
+        if (how == Conduct.REFUSING || queued.getOrDefault(id, 0) > limits.maxQueuedCalls()) {
             time.schedule(NANOS_PER_MILLI, () -> callback.accept(new StageCallResult.NotRun("full")));
             return;
         }
--- a/library/src/test/java/org/copperspindle/batch/FetchTimeTest.java
+++ b/library/src/test/java/org/copperspindle/batch/FetchTimeTest.java
@@ -28,14 +28,14 @@
      */
     @Test
     void isLongerAfterResultsWereMissed() {
-        time.tooEarly();
+        time.recordEarlyRelease();
         assertThat(time.nanos(LIMITS, 0)).isEqualTo(50 * MILLI);
         for (int i = 0; i < 10; i++) {
-            time.tooEarly();
+            time.recordEarlyRelease();
         }
         assertThat(time.nanos(LIMITS, 0)).isEqualTo(150 * MILLI);
         for (int i = 0; i < 1000; i++) {
-            time.sound();
+            time.recordSuccess();
         }
         assertThat(time.nanos(LIMITS, 0)).isBetween(25 * MILLI, 26 * MILLI);
     }
--- a/library/src/test/java/org/copperspindle/batch/LimitedStageTest.java
+++ b/library/src/test/java/org/copperspindle/batch/LimitedStageTest.java
@@ -38,7 +38,7 @@
                     () -> Optional.of(LIMITS),
                     new RecordingSink(this::giveUp),
                     new DecisionLog(0, 0))
-            .admittedBy(admission);
+            .limitCallsWith(admission);
     private long lastId;
 
     LimitedStageTest() {
@@ -103,7 +103,7 @@
         }
 
         @Override
-        public void calls(String upstream) {
+        public void recordCall(String upstream) {
             if (!upstream.equals(LIMITED)) {
                 return;
             }
@@ -113,7 +113,7 @@
         }
 
         @Override
-        public boolean isAtRest(String upstream) {
+        public boolean isBackingOff(String upstream) {
             return false;
         }
 
--- a/library/src/test/java/org/copperspindle/batch/SlowUpstreamTest.java
+++ b/library/src/test/java/org/copperspindle/batch/SlowUpstreamTest.java
@@ -126,7 +126,7 @@
         port.conduct.put(SLOW, Conduct.SLOW);
         play(6000);
         PoolLoad load = dispatcher.load();
-        double twoUpstreams = 2 * LIMITS.batch() / (LIMITS.fullCallNanos() / 1e9);
+        double twoUpstreams = 2 * LIMITS.maxPieces() / (LIMITS.fullCallNanos() / 1e9);
         assertThat(load.piecesPerSecond()).isCloseTo(twoUpstreams, Percentage.withPercentage(10));
         assertThat(load.waitNanos()).isGreaterThanOrEqualTo((long) (dispatcher.waitingPieces() / twoUpstreams * 1e9));
     }
--- a/library/src/test/java/org/copperspindle/coldstart/ColdAdmissionTest.java
+++ b/library/src/test/java/org/copperspindle/coldstart/ColdAdmissionTest.java
@@ -80,7 +80,7 @@
     void earlierSendsCount() {
         ColdAdmission alone = new SenderSetAdmission("n0", List::of, () -> false);
         ColdLimits limits = new ColdLimits(Duration.ofSeconds(3), 10);
-        IntStream.range(0, 30).forEach(i -> alone.taken(COLD, i * 10 * MILLI));
+        IntStream.range(0, 30).forEach(i -> alone.recordSend(COLD, i * 10 * MILLI));
         assertThat(alone.mayTake(COLD, limits, 300 * MILLI)).isFalse();
         assertThat(alone.mayTake(COLD, limits, 2000 * MILLI)).isTrue();
     }
@@ -104,7 +104,7 @@
             return;
         }
         if (admission.mayTake(COLD, limits, now)) {
-            admission.taken(COLD, now);
+            admission.recordSend(COLD, now);
             arrivals.add(now - start + random.nextInt(20) * MILLI);
         }
         time.schedule((1 + random.nextInt(30)) * MILLI, () -> want(admission, limits, start, random));
--- a/library/src/test/java/org/copperspindle/consensus/OpenMembershipTest.java
+++ b/library/src/test/java/org/copperspindle/consensus/OpenMembershipTest.java
@@ -106,9 +106,9 @@
         assertThat(leads(group).node.membership().voters()).hasSize(3);
     }
 
-    private static SimulatedGroup start(long seed, int voters, int smallest) {
+    private static SimulatedGroup start(long seed, int voters, int minVoters) {
         SimulatedGroup group = new SimulatedGroup(seed, voters);
-        group.openMembership(smallest, true);
+        group.openMembership(minVoters, true);
         group.startAll();
         group.awaitLeader();
         group.commit("first");
--- a/library/src/test/java/org/copperspindle/consensus/SimulatedGroup.java
+++ b/library/src/test/java/org/copperspindle/consensus/SimulatedGroup.java
@@ -60,7 +60,7 @@
     }
 
     /** Lets members come and go as they are found, down to a number of voters that a removal must leave. */
-    void openMembership(int smallest, boolean mayFound) {
+    void openMembership(int minVoters, boolean mayBootstrap) {
         VoterRoster roster = new VoterRoster() {
             @Override
             public List<VoterAddress> voters() {
@@ -68,18 +68,18 @@
             }
 
             @Override
-            public boolean mayFound() {
-                return mayFound;
+            public boolean mayBootstrap() {
+                return mayBootstrap;
             }
 
             @Override
-            public boolean isOpen() {
+            public boolean isDynamic() {
                 return true;
             }
 
             @Override
-            public int smallest() {
-                return smallest;
+            public int minVoters() {
+                return minVoters;
             }
         };
         List<RaftSettings.Voter> names = members.stream()
--- a/library/src/test/java/org/copperspindle/dialect/StandardTablesTest.java
+++ b/library/src/test/java/org/copperspindle/dialect/StandardTablesTest.java
@@ -61,7 +61,7 @@
         assertThat(route.pools()).isEqualTo(List.of(new WeightedPool("engines", 90), new WeightedPool("spare", 10)));
         assertThat(route.stages()).hasSize(2);
         assertThat(route.stages().get(1).after()).containsExactly(0);
-        assertThat(table.findPool("encoders").orElseThrow().batch()).isPresent();
+        assertThat(table.findPool("encoders").orElseThrow().batchLimits()).isPresent();
         assertThat(table.findPool("engines").orElseThrow().engineSlots()).hasValue(64);
     }
 
--- a/library/src/test/java/org/copperspindle/direct/DirectClientTest.java
+++ b/library/src/test/java/org/copperspindle/direct/DirectClientTest.java
@@ -174,7 +174,7 @@
      */
     @ParameterizedTest
     @CsvSource({"2, KEPT, true", "2, NEW, false", "3, KEPT, false"})
-    void lossTellsWhetherTheUpstreamWasThere(int endsAt, ConnectionUse use, boolean unseen) throws Exception {
+    void lossTellsWhetherTheUpstreamWasThere(int endsAt, ConnectionUse use, boolean possiblyStale) throws Exception {
         AtomicReference<ScriptedUpstream> upstream = new AtomicReference<>();
         upstream.set(new ScriptedUpstream((number, request, connection, out) -> {
             if (number == 1) {
@@ -190,8 +190,8 @@
         Told told = new Told(new CompletableFuture<>());
         loop.execute(() -> client.call(call(address, "id", use), told));
         assertThat(told.result.get(BOUND_SECONDS, TimeUnit.SECONDS)).startsWith("sent connect");
-        assertThat(told.failure.lost()).isTrue();
-        assertThat(told.failure.unseen()).isEqualTo(unseen);
+        assertThat(told.failure.connectionLost()).isTrue();
+        assertThat(told.failure.possiblyStale()).isEqualTo(possiblyStale);
     }
 
     /** The port is one that the kernel gives to nobody else once it is free again. */
--- a/library/src/test/java/org/copperspindle/discovery/DirectoryGossipTest.java
+++ b/library/src/test/java/org/copperspindle/discovery/DirectoryGossipTest.java
@@ -53,7 +53,7 @@
     void repeatedAnnouncementsGoTogetherWithTheirAge(int upstreams) {
         for (int beat = 0; beat < 10; beat++) {
             for (int i = 0; i < upstreams; i++) {
-                gossip.announced(news(i, beat));
+                gossip.onAnnouncement(news(i, beat));
                 time.advance(Duration.ofMillis(1200).toNanos() / upstreams);
             }
         }
@@ -69,8 +69,8 @@
     /** An upstream drains: it must get no new work within a short while, so that this waits for nothing. */
     @Test
     void changeIsPassedOnAtOnce() {
-        gossip.announced(news(1, 0));
-        gossip.left("u1", UpstreamNews.UNKNOWN_INCARNATION, "drained");
+        gossip.onAnnouncement(news(1, 0));
+        gossip.onLeft("u1", UpstreamNews.UNKNOWN_INCARNATION, "drained");
         assertThat(other.sent(UpstreamNewsMessage.class)).hasSize(2);
     }
 
--- a/library/src/test/java/org/copperspindle/discovery/UpstreamDirectoryTest.java
+++ b/library/src/test/java/org/copperspindle/discovery/UpstreamDirectoryTest.java
@@ -157,7 +157,7 @@
         assertThat(hear("a", "10.0.0.1:1", UpstreamPhase.READY, 1, 0)).isEqualTo(DirectoryChange.CHANGED);
         assertThat(hear("a", "10.0.0.1:1", UpstreamPhase.READY, 2, 0)).isEqualTo(DirectoryChange.REFRESHED);
         now += 3 * SECOND;
-        assertThat(directory.silence("a", now)).isEqualTo(3 * SECOND);
+        assertThat(directory.silenceNanos("a", now)).isEqualTo(3 * SECOND);
     }
 
     private List<String> readyIds() {
@@ -206,7 +206,7 @@
      */
     @Test
     void upstreamsOfADomainThatIsUsedAgainCountAsCold() {
-        directory.coldTimes(Map.of("p", 3 * SECOND));
+        directory.setColdTimes(Map.of("p", 3 * SECOND));
         hear("a", "10.0.0.1:1", UpstreamPhase.READY, 1, 0);
         UpstreamNews news = directory.find("a").orElseThrow();
         assertThat(directory.isCold(news, now)).isFalse();
--- a/library/src/test/java/org/copperspindle/edition/EditionHolderTest.java
+++ b/library/src/test/java/org/copperspindle/edition/EditionHolderTest.java
@@ -40,7 +40,7 @@
     void servesNothingBeforeTheLeaderSaysThatItsVersionIsTheNewest() {
         holder.receive(edition(5));
         assertThat(holder.inForce()).isEmpty();
-        holder.ask();
+        holder.requestLease();
         answer(5);
         assertThat(holder.inForce()).map(RouteTable::version).hasValue(5L);
     }
@@ -49,7 +49,7 @@
     @Test
     void waitsForTheTextOfTheNewestVersion() {
         holder.receive(edition(5));
-        holder.ask();
+        holder.requestLease();
         answer(6);
         assertThat(holder.inForce()).isEmpty();
         holder.receive(edition(6));
@@ -63,7 +63,7 @@
     @Test
     void leaseEndsCountedFromTheQuestion() {
         holder.receive(edition(5));
-        holder.ask();
+        holder.requestLease();
         time.advance(1000 * MILLI);
         answer(5);
         time.advance(2700 * MILLI);
@@ -76,14 +76,14 @@
     @Test
     void leaseEndsWithASuspension() {
         holder.receive(edition(5));
-        holder.ask();
+        holder.requestLease();
         answer(5);
         assertThat(holder.inForce()).isPresent();
         suspended.addAndGet(6000 * MILLI);
         assertThat(holder.inForce()).isEmpty();
         answer(5);
         assertThat(holder.inForce()).as("an answer to a question from before").isEmpty();
-        holder.ask();
+        holder.requestLease();
         answer(5);
         assertThat(holder.inForce()).isPresent();
     }
@@ -92,7 +92,7 @@
     void neverGoesBack() {
         holder.receive(edition(6));
         holder.receive(edition(5));
-        holder.ask();
+        holder.requestLease();
         answer(5);
         assertThat(holder.version()).isEqualTo(6);
         assertThat(holder.inForce()).map(RouteTable::version).hasValue(6L);
@@ -105,7 +105,7 @@
     @Test
     void servesNothingBeforeItKnowsTheEvacuations() {
         holder.receive(edition(5));
-        holder.ask();
+        holder.requestLease();
         answer(5, 9);
         assertThat(holder.inForce()).isEmpty();
         holder.receive(new EvacuationsMessage(9, List.of("d")));
@@ -117,7 +117,7 @@
     @Test
     void waitsForTheTableThatFollowsTheEvacuations() {
         holder.receive(new EvacuationsMessage(9, List.of("d")));
-        holder.ask();
+        holder.requestLease();
         answer(1, 9);
         assertThat(holder.inForce()).isEmpty();
         holder.receive(edition(1));
--- a/library/src/test/java/org/copperspindle/edition/EditionMemberTest.java
+++ b/library/src/test/java/org/copperspindle/edition/EditionMemberTest.java
@@ -77,7 +77,7 @@
                         .failureDomains())
                 .containsExactly("d");
         EditionSnapshotMessage held = held((member, ended) -> member.read(ended));
-        assertThat(held.edition().map(edition -> new String(edition.text(), StandardCharsets.UTF_8)))
+        assertThat(held.newestVersion().map(edition -> new String(edition.text(), StandardCharsets.UTF_8)))
                 .hasValue("text 3");
         assertThat(held.evacuations().failureDomains()).containsExactly("d");
     }
@@ -117,7 +117,7 @@
                 voter.name(),
                 address,
                 new InetSocketAddress(address.getAddress(), 1),
-                VoterRoster.named(List.of(voter)),
+                VoterRoster.fixedVoters(List.of(voter)),
                 true,
                 folder,
                 Duration.ofMillis(400));
--- a/library/src/test/java/org/copperspindle/edition/EditionStateTest.java
+++ b/library/src/test/java/org/copperspindle/edition/EditionStateTest.java
@@ -114,7 +114,7 @@
     }
 
     private static String text(EditionState of) {
-        return new String(of.held().edition().orElseThrow().text(), StandardCharsets.UTF_8);
+        return new String(of.held().newestVersion().orElseThrow().text(), StandardCharsets.UTF_8);
     }
 
     /** What an observer was told. */
@@ -123,7 +123,7 @@
         private final List<EvacuationsMessage> evacuations = new ArrayList<>();
 
         @Override
-        public void onEdition(EditionMessage edition) {
+        public void onVersion(EditionMessage edition) {
             versions.add(edition.version());
         }
 
--- a/library/src/test/java/org/copperspindle/edition/IgnoringObserver.java
+++ b/library/src/test/java/org/copperspindle/edition/IgnoringObserver.java
@@ -6,7 +6,7 @@
 final class IgnoringObserver implements EditionObserver {
 
     @Override
-    public void onEdition(EditionMessage edition) {
+    public void onVersion(EditionMessage edition) {
         // Only the member's own life is tested.
     }
 
--- a/library/src/test/java/org/copperspindle/entry/SimulatedEntry.java
+++ b/library/src/test/java/org/copperspindle/entry/SimulatedEntry.java
@@ -58,7 +58,7 @@
                 Priority.STANDARD,
                 caller.deadline(),
                 streaming);
-        policy.refuse(request, deployment.timers().nanoTime());
+        policy.tryAdmit(request, deployment.timers().nanoTime());
         driver.open(request, new RunChooser(view, "north", request, policy, deployment.timers(), this), caller);
     }
 
--- a/library/src/test/java/org/copperspindle/gateway/SharedRetryBudgetTest.java
+++ b/library/src/test/java/org/copperspindle/gateway/SharedRetryBudgetTest.java
@@ -30,8 +30,8 @@
             for (SharedRetryBudget budget : budgets) {
                 for (int i = 0; i < requestsPerSecond; i++) {
                     long now = second * SECOND + i * SECOND / requestsPerSecond;
-                    budget.requested("p", now);
-                    repeats[second] += budget.take("p", now) ? 1 : 0;
+                    budget.recordRequest("p", now);
+                    repeats[second] += budget.tryAcquire("p", now) ? 1 : 0;
                 }
             }
         }
@@ -48,9 +48,9 @@
     @CsvSource({"5, false", "11, true"})
     void repeatsComeBackWithTheNextWindow(int seconds, boolean left) {
         SharedRetryBudget budget = new SharedRetryBudget(0, 2, Duration.ofSeconds(10));
-        assertThat(budget.take("p", 0)).isTrue();
-        assertThat(budget.take("p", 0)).isFalse();
-        assertThat(budget.take("q", 0)).as("another pool").isTrue();
-        assertThat(budget.take("p", seconds * SECOND)).isEqualTo(left);
+        assertThat(budget.tryAcquire("p", 0)).isTrue();
+        assertThat(budget.tryAcquire("p", 0)).isFalse();
+        assertThat(budget.tryAcquire("q", 0)).as("another pool").isTrue();
+        assertThat(budget.tryAcquire("p", seconds * SECOND)).isEqualTo(left);
     }
 }
--- a/library/src/test/java/org/copperspindle/gateway/SimulatedStages.java
+++ b/library/src/test/java/org/copperspindle/gateway/SimulatedStages.java
@@ -52,7 +52,7 @@
             UpstreamNews upstream, List<StageItem> items, long timeoutMillis, Consumer<StageCallResult> callback) {
         Server server = server(upstream);
         BatchLimits limits = pools.get(upstream.pool());
-        if (server.calls >= limits.slots() + limits.queue()) {
+        if (server.calls >= limits.concurrentCalls() + limits.maxQueuedCalls()) {
             callback.accept(new StageCallResult.NotRun("full"));
             return;
         }
@@ -119,7 +119,7 @@
 
     private void forgetLater(Server server, BatchLimits limits, List<PieceOutcome> outcomes) {
         timers.schedule(
-                limits.keptNanos(),
+                limits.resultRetentionNanos(),
                 () -> outcomes.forEach(outcome -> {
                     if (outcome instanceof PieceOutcome.Made made) {
                         server.drop(made.handle());
--- a/library/src/test/java/org/copperspindle/gateway/UpstreamChooserTest.java
+++ b/library/src/test/java/org/copperspindle/gateway/UpstreamChooserTest.java
@@ -87,7 +87,7 @@
         Map<String, Integer> chosen = new HashMap<>();
         IntStream.range(0, 20).forEach(i -> {
             String id = choose("part", 500, 0).id();
-            cold.taken(id, 0);
+            cold.recordSend(id, 0);
             chosen.merge(id, 1, Integer::sum);
         });
         assertThat(chosen).containsEntry(home, 1).hasSize(2);
@@ -99,7 +99,7 @@
         assertThat(chooser.isWarming(COLD_ENGINES, Set.of(), 0)).isFalse();
         for (int i = 0; i < 9; i++) {
             announceCold("e" + i, 3000);
-            cold.taken("e" + i, 0);
+            cold.recordSend("e" + i, 0);
         }
         assertThat(find("part", 500, 0)).isEmpty();
         assertThat(chooser.isWarming(COLD_ENGINES, Set.of(), 0)).isTrue();
@@ -110,9 +110,9 @@
     @Test
     void engineWithoutRoomInItsLimitIsPassedOver() {
         String home = choose("part", 500, 0).id();
-        limits.answered(home, new LimitSignal.Named(1), 0, 1);
+        limits.onResponse(home, new LimitSignal.Named(1), 0, 1);
         assertThat(choose("part", 500, 0).id()).isEqualTo(home);
-        permits.ask(home, 0, result -> assertThat(result).isInstanceOf(PermitResult.Denied.class));
+        permits.requestPermit(home, 0, result -> assertThat(result).isInstanceOf(PermitResult.Denied.class));
         assertThat(choose("part", 500, 0).id()).isNotEqualTo(home);
         assertThat(chooser.soonestLimited(COLD_ENGINES, Set.of(), 0))
                 .map(UpstreamNews::id)
@@ -124,7 +124,7 @@
     void needOfAllEnginesIsKnownBeforeTheStages() {
         assertThat(chooser.soonestBeyond(COLD_ENGINES, Set.of(), -1, 0)).isEmpty();
         for (int i = 0; i < 9; i++) {
-            rests.answered("e" + i, new RestSignal.Asked(Duration.ofSeconds(3 + i)), false, 0);
+            rests.onResponse("e" + i, new RestSignal.Asked(Duration.ofSeconds(3 + i)), false, 0);
         }
         assertThat(chooser.soonestBeyond(COLD_ENGINES, Set.of(), 2_000_000_000L, 0))
                 .hasValue(3_000_000_000L);
--- a/library/src/test/java/org/copperspindle/gateway/UpstreamTrackerTest.java
+++ b/library/src/test/java/org/copperspindle/gateway/UpstreamTrackerTest.java
@@ -53,9 +53,9 @@
     @ParameterizedTest
     @CsvSource({"7, false", "8, true"})
     void newLifeIsNotLeftAloneForFailuresOfTheFormer(long incarnation, boolean usable) {
-        tracker.heard("u", 7);
+        tracker.updateIncarnation("u", 7);
         fail(2);
-        tracker.heard("u", incarnation);
+        tracker.updateIncarnation("u", incarnation);
         assertThat(tracker.isUsable("u", 0)).isEqualTo(usable);
     }
 
--- a/library/src/test/java/org/copperspindle/limits/RateAdmissionPolicyTest.java
+++ b/library/src/test/java/org/copperspindle/limits/RateAdmissionPolicyTest.java
@@ -33,8 +33,8 @@
             long now = milli * MILLI;
             if (milli % 1000 == 0) {
                 double part = milli / 1000 % 5 / 4.0;
-                one.rateShare(part, now);
-                other.rateShare(1 - part, now);
+                one.setRateShare(part, now);
+                other.setRateShare(1 - part, now);
             }
             admitted += admit(one, account, now) + admit(other, account, now);
         }
@@ -46,8 +46,8 @@
     @Test
     void equalPartsAdmitTheRate() {
         AccountSettings account = account(10);
-        one.rateShare(0.5, 0);
-        other.rateShare(0.5, 0);
+        one.setRateShare(0.5, 0);
+        other.setRateShare(0.5, 0);
         long admitted = 0;
         for (long milli = 0; milli <= SECONDS * 1000; milli++) {
             admitted += admit(one, account, milli * MILLI) + admit(other, account, milli * MILLI);
@@ -58,13 +58,13 @@
     /** An entry whose part is still with others admits nothing, although its burst was never used. */
     @Test
     void entryWithoutAPartAdmitsNothing() {
-        one.rateShare(0, 0);
+        one.setRateShare(0, 0);
 
-        assertThat(one.refuse(account(100), Priority.INTERACTIVE, MILLI)).contains(Duration.ofSeconds(1));
+        assertThat(one.tryAdmit(account(100), Priority.INTERACTIVE, MILLI)).contains(Duration.ofSeconds(1));
     }
 
     private static int admit(RateAdmissionPolicy policy, AccountSettings account, long now) {
-        return policy.refuse(account, Priority.INTERACTIVE, now).isEmpty() ? 1 : 0;
+        return policy.tryAdmit(account, Priority.INTERACTIVE, now).isEmpty() ? 1 : 0;
     }
 
     private static AccountSettings account(double rate) {
--- a/library/src/test/java/org/copperspindle/membership/UpstreamMembershipTest.java
+++ b/library/src/test/java/org/copperspindle/membership/UpstreamMembershipTest.java
@@ -66,7 +66,7 @@
         deployment.advance(Duration.ofSeconds(3));
 
         assertThat(restarted.incarnation).isEqualTo(1001);
-        assertThat(restarted.link.held()).isTrue();
+        assertThat(restarted.link.isLeaseHeld()).isTrue();
         assertThat(announced("u1").incarnation()).isEqualTo(1001);
     }
 
@@ -85,8 +85,8 @@
         deployment.advance(Duration.ofSeconds(10));
 
         assertThat(announced("u1").incarnation()).isEqualTo(2000);
-        assertThat(fresh.link.held()).isTrue();
-        assertThat(old.link.held()).isFalse();
+        assertThat(fresh.link.isLeaseHeld()).isTrue();
+        assertThat(old.link.isLeaseHeld()).isFalse();
         assertThat(old.incarnation).isEqualTo(1000);
     }
 
@@ -139,7 +139,7 @@
             deployment.advance(Duration.ofMillis(100));
             busiest = Math.max(busiest, deployment.messages - before);
             assertThat(deployment.members.values())
-                    .filteredOn(m -> !m.link.held())
+                    .filteredOn(m -> !m.link.isLeaseHeld())
                     .isEmpty();
         }
         return busiest;
--- a/library/src/test/java/org/copperspindle/membership/VirtualDeployment.java
+++ b/library/src/test/java/org/copperspindle/membership/VirtualDeployment.java
@@ -184,7 +184,7 @@
         }
 
         boolean serves() {
-            return !dead && version > 0 && link.held();
+            return !dead && version > 0 && link.isLeaseHeld();
         }
 
         void kill() {
--- a/library/src/test/java/org/copperspindle/mesh/CutOffWatchTest.java
+++ b/library/src/test/java/org/copperspindle/mesh/CutOffWatchTest.java
@@ -36,7 +36,7 @@
             connected--;
             watch.onNodeDown(new MeshNode("n" + i));
         }
-        assertThat(watch.isCutOff()).isEqualTo(cutOff);
+        assertThat(watch.isIsolated()).isEqualTo(cutOff);
     }
 
     /** The others come back, or stay away for long: either way the node serves again. */
@@ -46,14 +46,14 @@
         watch.onNodeDown(new MeshNode("a"));
         watch.onNodeDown(new MeshNode("b"));
         watch.onNodeDown(new MeshNode("c"));
-        assertThat(watch.isCutOff()).isTrue();
+        assertThat(watch.isIsolated()).isTrue();
         connected = 1;
         watch.onNodeUp(new MeshNode("a"));
-        assertThat(watch.isCutOff()).isFalse();
+        assertThat(watch.isIsolated()).isFalse();
         connected = 0;
         watch.onNodeDown(new MeshNode("a"));
-        assertThat(watch.isCutOff()).isTrue();
+        assertThat(watch.isIsolated()).isTrue();
         time.advance(9 * SECOND);
-        assertThat(watch.isCutOff()).isFalse();
+        assertThat(watch.isIsolated()).isFalse();
     }
 }
--- a/library/src/test/java/org/copperspindle/mesh/MeshRelayTest.java
+++ b/library/src/test/java/org/copperspindle/mesh/MeshRelayTest.java
@@ -59,7 +59,7 @@
     @Test
     void sendsThroughANodeThatReachesBoth() {
         connect(BETWEEN, List.of(FAR));
-        assertThat(relay.sees(FAR)).isTrue();
+        assertThat(relay.canReach(FAR)).isTrue();
         assertThat(relay.send(FAR, hello())).isTrue();
         assertThat(peers.get(BETWEEN).sent(RelayMessage.class))
                 .singleElement()
@@ -77,7 +77,7 @@
     @Test
     void saysThatThereIsNoWay() {
         connect(BETWEEN, List.of());
-        assertThat(relay.sees(FAR)).isFalse();
+        assertThat(relay.canReach(FAR)).isFalse();
         assertThat(relay.send(FAR, hello())).isFalse();
     }
 
--- a/library/src/test/java/org/copperspindle/quarantine/QuarantineFleet.java
+++ b/library/src/test/java/org/copperspindle/quarantine/QuarantineFleet.java
@@ -102,7 +102,7 @@
     }
 
     UpstreamRun send(int node, WatchedRequest request, int upstream, Optional<UpstreamRun> previous) {
-        return quarantine(node).sent(request, upstreams.get(upstream), previous);
+        return quarantine(node).startRun(request, upstreams.get(upstream), previous);
     }
 
     /** Ends an upstream under runs; each is told with the node that has it. */
@@ -115,17 +115,17 @@
     /** Ends an upstream of which the connections of runs showed no sign of life. */
     void endUnseen(int upstream, Map<UpstreamRun, Integer> runs) {
         upstreams.computeIfPresent(upstream, (n, news) -> news.gone());
-        runs.forEach((run, node) -> quarantine(node).lost(run, false, () -> {}));
+        runs.forEach((run, node) -> quarantine(node).onConnectionFailure(run, false, () -> {}));
     }
 
     /** Breaks the connections of runs; their upstream may live on. */
     void breakOff(Map<UpstreamRun, Integer> runs) {
-        runs.forEach((run, node) -> quarantine(node).lost(run, true, () -> {}));
+        runs.forEach((run, node) -> quarantine(node).onConnectionFailure(run, true, () -> {}));
     }
 
     /** Sends a request to a new upstream, which ends under it, unless it is held off; returns whether it was sent. */
     boolean endsOne(int node, WatchedRequest request) {
-        if (quarantine(node).isHeld(request)) {
+        if (quarantine(node).isQuarantined(request)) {
             return false;
         }
         int upstream = addUpstream();
@@ -136,7 +136,7 @@
 
     /** Has a request run to its end. */
     void serve(int node, WatchedRequest request) {
-        quarantine(node).outlived(send(node, request, addUpstream()));
+        quarantine(node).onSurvived(send(node, request, addUpstream()));
     }
 
     RequestQuarantine quarantine(int node) {
@@ -144,11 +144,11 @@
     }
 
     boolean isHeldAnywhere(WatchedRequest request) {
-        return nodes.stream().anyMatch(node -> node.quarantine.isHeld(request));
+        return nodes.stream().anyMatch(node -> node.quarantine.isQuarantined(request));
     }
 
     boolean isHeldEverywhere(WatchedRequest request) {
-        return nodes.stream().allMatch(node -> node.quarantine.isHeld(request));
+        return nodes.stream().allMatch(node -> node.quarantine.isQuarantined(request));
     }
 
     int ended() {
--- a/library/src/test/java/org/copperspindle/quarantine/RequestQuarantineTest.java
+++ b/library/src/test/java/org/copperspindle/quarantine/RequestQuarantineTest.java
@@ -45,11 +45,11 @@
             assertThat(fleet.endsOne(i % nodes, GUILTY)).isEqualTo(i < ENDS);
         }
         assertThat(fleet.isHeldEverywhere(GUILTY)).isTrue();
-        assertThat(fleet.quarantine(NODES - 1).held()).singleElement().satisfies(held -> {
+        assertThat(fleet.quarantine(NODES - 1).quarantined()).singleElement().satisfies(held -> {
             assertThat(held.digest()).isEqualTo(GUILTY.digest().text());
             assertThat(held.upstreams()).containsExactlyInAnyOrder("u0", "u1", "u2");
             assertThat(held.account()).isEqualTo("t");
-            assertThat(held.leftMillis()).isPositive();
+            assertThat(held.remainingMillis()).isPositive();
         });
     }
 
@@ -90,7 +90,7 @@
             fleet.end(upstream, runs);
             fleet.settle();
         }
-        assertThat(fleet.quarantine(0).held())
+        assertThat(fleet.quarantine(0).quarantined())
                 .extracting(HeldRequest::digest)
                 .containsExactly(GUILTY.digest().text());
     }
@@ -162,7 +162,7 @@
             fleet.breakOff(Map.of(run, node));
             fleet.settle();
         }
-        assertThat(fleet.quarantine(0).remembered()).isEqualTo(1);
+        assertThat(fleet.quarantine(0).trackedRequests()).isEqualTo(1);
     }
 
     /**
@@ -253,7 +253,7 @@
             fleet.breakOff(Map.of(run, 0));
             fleet.advance(Duration.ofSeconds(12));
         }
-        assertThat(fleet.quarantine(0).remembered()).isZero();
+        assertThat(fleet.quarantine(0).trackedRequests()).isZero();
     }
 
     /**
@@ -292,7 +292,7 @@
             fleet.cut(0, other);
         }
         fleet.endsOne(0, GUILTY);
-        assertThat(fleet.quarantine(1).isHeld(GUILTY)).isEqualTo(reachedByOthers);
+        assertThat(fleet.quarantine(1).isQuarantined(GUILTY)).isEqualTo(reachedByOthers);
         for (int other = 1; other < (reachedByOthers ? 2 : NODES); other++) {
             fleet.join(0, other);
         }
@@ -318,7 +318,7 @@
             fleet.endsOne(i, GUILTY);
         }
         fleet.restart(List.of(0));
-        assertThat(fleet.quarantine(0).isHeld(GUILTY)).isTrue();
+        assertThat(fleet.quarantine(0).isQuarantined(GUILTY)).isTrue();
     }
 
     /** All nodes are killed at once and remember nothing: three more upstreams end, as at first. */
@@ -347,7 +347,7 @@
         fleet.end(upstream, Map.of(fleet.send(0, GUILTY, upstream), 0));
         fleet.advance(Duration.ofMillis(2));
         fleet.resetNewest(0, 1);
-        assertThat(fleet.quarantine(1).isHeld(GUILTY)).isTrue();
+        assertThat(fleet.quarantine(1).isQuarantined(GUILTY)).isTrue();
     }
 
     /**
@@ -397,11 +397,11 @@
             fleet.settle();
         }
         for (int node = 0; node < NODES; node++) {
-            assertThat(fleet.quarantine(node).remembered()).isLessThanOrEqualTo(SuspicionTable.MAX_REQUESTS);
+            assertThat(fleet.quarantine(node).trackedRequests()).isLessThanOrEqualTo(SuspicionTable.MAX_REQUESTS);
         }
         assertThat(fleet.isHeldEverywhere(GUILTY)).isTrue();
         fleet.advance(Duration.ofMinutes(15));
-        assertThat(fleet.quarantine(0).remembered()).isZero();
+        assertThat(fleet.quarantine(0).trackedRequests()).isZero();
     }
 
     /** A suspected request may go to another upstream only once it is known whether it ended this one; others need not wait. */
@@ -411,12 +411,12 @@
         int upstream = fleet.addUpstream();
         boolean[] told = new boolean[1];
         UpstreamRun run = fleet.send(1, GUILTY, upstream);
-        fleet.quarantine(1).lost(run, true, () -> told[0] = true);
+        fleet.quarantine(1).onConnectionFailure(run, true, () -> told[0] = true);
         assertThat(told[0]).isFalse();
         fleet.settle();
         assertThat(told[0]).isTrue();
         told[0] = false;
-        fleet.quarantine(1).lost(fleet.send(1, POPULAR, upstream), true, () -> told[0] = true);
+        fleet.quarantine(1).onConnectionFailure(fleet.send(1, POPULAR, upstream), true, () -> told[0] = true);
         assertThat(told[0]).isTrue();
     }
 
@@ -461,7 +461,7 @@
             assertThat(ends[which]).as("ends of " + which).isLessThanOrEqualTo(2 * ENDS);
         }
         for (int node = 0; node < NODES; node++) {
-            assertThat(fleet.quarantine(node).held())
+            assertThat(fleet.quarantine(node).quarantined())
                     .extracting(HeldRequest::digest)
                     .as("held off at " + node)
                     .containsExactlyInAnyOrderElementsOf(
