--- a/library/src/main/java/org/copperspindle/backpressure/RestSignal.java
+++ b/library/src/main/java/org/copperspindle/backpressure/BackoffSignal.java
@@ -7,10 +7,10 @@
 /**
  * What one answer says of the time in which its upstream wants nothing from the node that it answers.
  */
-public sealed interface RestSignal {
+public sealed interface BackoffSignal {
 
     /** An answer that asks for nothing. */
-    RestSignal ABSENT = new Absent();
+    BackoffSignal ABSENT = new Absent();
 
     /**
      * Reads the values of the field that holds the time. Of several the longest counts. A value that is no decimal number asks for
@@ -19,7 +19,7 @@
      * @param values all values of the field in seconds, none if the answer lacks it
      * @return what they say
      */
-    static RestSignal of(List<String> values) {
+    static BackoffSignal of(List<String> values) {
         if (values.isEmpty()) {
             return ABSENT;
         }
@@ -28,14 +28,14 @@
     }
 
     /** The answer asks for nothing. */
-    record Absent() implements RestSignal {}
+    record Absent() implements BackoffSignal {}
 
     /**
      * The upstream turns a request away and wants no other from this node for a while.
      *
      * @param rest for how long
      */
-    record Asked(Duration rest) implements RestSignal {
+    record Asked(Duration rest) implements BackoffSignal {
         /** An upstream that wants nothing for longer has left or starts anew. */
         private static final Duration LONGEST = Duration.ofHours(1);
 
@@ -52,7 +52,7 @@
      *
      * @param text what it holds
      */
-    record Unreadable(String text) implements RestSignal {
+    record Unreadable(String text) implements BackoffSignal {
         /** Cuts long texts off. */
         public Unreadable {
             text = FieldNumber.shortened(text);
--- a/library/src/main/java/org/copperspindle/backpressure/LimitGossip.java
+++ b/library/src/main/java/org/copperspindle/backpressure/LimitGossip.java
@@ -46,15 +46,15 @@
 
     @Override
     public void onNodeUp(MeshNode node) {
-        List<LimitNews> all = limits.all(timers.nanoTime());
+        List<LimitRecord> all = limits.all(timers.nanoTime());
         if (!all.isEmpty()) {
-            node.send(new LimitNewsMessage(all));
+            node.send(new LimitRecordsMessage(all));
         }
     }
 
     @Override
     public void onMessage(MeshNode node, WireMessage message) {
-        if (message instanceof LimitNewsMessage told) {
+        if (message instanceof LimitRecordsMessage told) {
             told.news().forEach(news -> limits.told(news, timers.nanoTime()));
         } else {
             permits.onMessage(node.address(), message);
@@ -68,12 +68,12 @@
 
     private void flush() {
         long now = timers.nanoTime();
-        List<LimitNews> news = changed.stream()
+        List<LimitRecord> news = changed.stream()
                 .flatMap(upstream -> limits.news(upstream, now).stream())
                 .toList();
         changed.clear();
         if (!news.isEmpty()) {
-            mesh.broadcast(new LimitNewsMessage(news));
+            mesh.broadcast(new LimitRecordsMessage(news));
         }
     }
 }
--- a/library/src/main/java/org/copperspindle/backpressure/KeeperChoice.java
+++ b/library/src/main/java/org/copperspindle/backpressure/LimitOwnerSelector.java
@@ -6,7 +6,7 @@
  * Chooses for each upstream the node that gives out its permits. All nodes that see the same nodes choose alike.
  */
 @FunctionalInterface
-public interface KeeperChoice {
+public interface LimitOwnerSelector {
 
     /**
      * Chooses the keeper of an upstream.
--- a/library/src/main/java/org/copperspindle/backpressure/LimitNews.java
+++ b/library/src/main/java/org/copperspindle/backpressure/LimitRecord.java
@@ -15,10 +15,10 @@
  * @param perSecond   requests a second from all nodes together; empty once it names no limit any more
  * @param ageMillis   how long before this record was sent it was read
  */
-record LimitNews(String upstream, long incarnation, OptionalDouble perSecond, long ageMillis) implements WireMessage {
+record LimitRecord(String upstream, long incarnation, OptionalDouble perSecond, long ageMillis) implements WireMessage {
 
-    static final MessageCodec<LimitNews> CODEC =
-            MessageCodec.of(226, LimitNews.class, LimitNews::write, LimitNews::read);
+    static final MessageCodec<LimitRecord> CODEC =
+            MessageCodec.of(226, LimitRecord.class, LimitRecord::write, LimitRecord::read);
 
     /** Limits travel as whole numbers of requests in a million seconds. */
     private static final double SCALE = 1e6;
@@ -29,7 +29,7 @@
         return CODEC.encode(this);
     }
 
-    static LimitNews decode(byte[] bytes) {
+    static LimitRecord decode(byte[] bytes) {
         return CODEC.decodePart(bytes);
     }
 
@@ -38,9 +38,9 @@
         out.put(1, upstream).put(2, incarnation).put(3, scaled).put(4, ageMillis);
     }
 
-    private static LimitNews read(FieldReader in) {
+    private static LimitRecord read(FieldReader in) {
         long scaled = in.getLong(3, NO_LIMIT);
         OptionalDouble perSecond = scaled < 0 ? OptionalDouble.empty() : OptionalDouble.of(scaled / SCALE);
-        return new LimitNews(in.getString(1), in.getLong(2, 0), perSecond, Math.max(0, in.getLong(4, 0)));
+        return new LimitRecord(in.getString(1), in.getLong(2, 0), perSecond, Math.max(0, in.getLong(4, 0)));
     }
 }
--- a/library/src/main/java/org/copperspindle/backpressure/PermitAskMessage.java
+++ b/library/src/main/java/org/copperspindle/backpressure/PermitRequestMessage.java
@@ -12,17 +12,17 @@
  * @param upstream    id of the upstream
  * @param longestWait milliseconds after which the permit must be valid
  */
-public record PermitAskMessage(long number, String upstream, long longestWait) implements WireMessage {
+public record PermitRequestMessage(long number, String upstream, long longestWait) implements WireMessage {
 
     /** Codec of this message. */
-    public static final MessageCodec<PermitAskMessage> CODEC =
-            MessageCodec.of(228, PermitAskMessage.class, PermitAskMessage::write, PermitAskMessage::read);
+    public static final MessageCodec<PermitRequestMessage> CODEC =
+            MessageCodec.of(228, PermitRequestMessage.class, PermitRequestMessage::write, PermitRequestMessage::read);
 
     private void write(FieldWriter out) {
         out.put(1, number).put(2, upstream).put(3, longestWait);
     }
 
-    private static PermitAskMessage read(FieldReader in) {
-        return new PermitAskMessage(in.getLong(1, 0), in.getString(2), in.getLong(3, 0));
+    private static PermitRequestMessage read(FieldReader in) {
+        return new PermitRequestMessage(in.getLong(1, 0), in.getString(2), in.getLong(3, 0));
     }
 }
--- a/library/src/main/java/org/copperspindle/backpressure/PermitAnswerMessage.java
+++ b/library/src/main/java/org/copperspindle/backpressure/PermitResponseMessage.java
@@ -12,19 +12,19 @@
  * @param granted whether the permit is given
  * @param micros  microseconds from now on until it is valid, or, if it is not given, until one could be
  */
-public record PermitAnswerMessage(long number, boolean granted, long micros) implements WireMessage {
+public record PermitResponseMessage(long number, boolean granted, long micros) implements WireMessage {
 
     /** Codec of this message. */
-    public static final MessageCodec<PermitAnswerMessage> CODEC =
-            MessageCodec.of(229, PermitAnswerMessage.class, PermitAnswerMessage::write, PermitAnswerMessage::read);
+    public static final MessageCodec<PermitResponseMessage> CODEC = MessageCodec.of(
+            229, PermitResponseMessage.class, PermitResponseMessage::write, PermitResponseMessage::read);
 
     private static final long NANOS_PER_MICRO = 1000;
 
-    static PermitAnswerMessage of(long number, PermitResult result) {
+    static PermitResponseMessage of(long number, PermitResult result) {
         if (result instanceof PermitResult.Granted granted) {
-            return new PermitAnswerMessage(number, true, granted.delayNanos() / NANOS_PER_MICRO);
+            return new PermitResponseMessage(number, true, granted.delayNanos() / NANOS_PER_MICRO);
         }
-        return new PermitAnswerMessage(number, false, ((PermitResult.Denied) result).freeNanos() / NANOS_PER_MICRO);
+        return new PermitResponseMessage(number, false, ((PermitResult.Denied) result).freeNanos() / NANOS_PER_MICRO);
     }
 
     PermitResult result() {
@@ -36,7 +36,7 @@
         out.put(1, number).put(2, granted).put(3, micros);
     }
 
-    private static PermitAnswerMessage read(FieldReader in) {
-        return new PermitAnswerMessage(in.getLong(1, 0), in.getBoolean(2), Math.max(0, in.getLong(3, 0)));
+    private static PermitResponseMessage read(FieldReader in) {
+        return new PermitResponseMessage(in.getLong(1, 0), in.getBoolean(2), Math.max(0, in.getLong(3, 0)));
     }
 }
--- a/library/src/main/java/org/copperspindle/backpressure/SendPermits.java
+++ b/library/src/main/java/org/copperspindle/backpressure/SendPermits.java
@@ -32,7 +32,7 @@
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
     private final UpstreamLimits limits;
-    private final KeeperChoice keepers;
+    private final LimitOwnerSelector keepers;
     private final Link link;
     private final TimerService timers;
     private final SendSlots slots = new SendSlots();
@@ -49,7 +49,7 @@
      * @param link    reaches other nodes
      * @param timers  time on the network thread
      */
-    public SendPermits(UpstreamLimits limits, KeeperChoice keepers, Link link, TimerService timers) {
+    public SendPermits(UpstreamLimits limits, LimitOwnerSelector keepers, Link link, TimerService timers) {
         this.limits = limits;
         this.keepers = keepers;
         this.link = link;
@@ -112,7 +112,7 @@
             return;
         }
         long number = ++lastNumber;
-        PermitAskMessage message = new PermitAskMessage(number, upstream, longestWait / NANOS_PER_MILLI);
+        PermitRequestMessage message = new PermitRequestMessage(number, upstream, longestWait / NANOS_PER_MILLI);
         if (keeper.isEmpty() || !link.send(keeper.get(), message)) {
             question.end(new PermitResult.Denied(ASK_AGAIN_NANOS));
             return;
@@ -150,14 +150,14 @@
      * @param message the message; others than questions and answers for permits are left alone
      */
     public void onMessage(String node, WireMessage message) {
-        if (message instanceof PermitAskMessage ask) {
+        if (message instanceof PermitRequestMessage ask) {
             // A node that sees other nodes asks the wrong one for a moment: two keepers would give out twice what there
             // is.
             PermitResult result = keeps(ask.upstream())
                     ? give(ask.upstream(), ask.longestWait() * NANOS_PER_MILLI)
                     : new PermitResult.Denied(ASK_AGAIN_NANOS);
-            link.send(node, PermitAnswerMessage.of(ask.number(), result));
-        } else if (message instanceof PermitAnswerMessage answer) {
+            link.send(node, PermitResponseMessage.of(ask.number(), result));
+        } else if (message instanceof PermitResponseMessage answer) {
             Optional.ofNullable(open.remove(answer.number())).ifPresent(question -> question.end(answer.result()));
         }
     }
@@ -205,7 +205,7 @@
         /**
          * Returns the name of this node.
          *
-         * @return as {@link KeeperChoice} gives it
+         * @return as {@link LimitOwnerSelector} gives it
          */
         String self();
 
--- a/library/src/main/java/org/copperspindle/backpressure/UpstreamRests.java
+++ b/library/src/main/java/org/copperspindle/backpressure/UpstreamBackoffs.java
@@ -7,16 +7,16 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 import org.copperspindle.discovery.UpstreamDirectory;
-import org.copperspindle.discovery.UpstreamNews;
+import org.copperspindle.discovery.UpstreamRecord;
 import org.copperspindle.measure.DecisionLog;
 
 /**
  * Upstreams that want nothing from this node for a while. Each asks every node by itself, so that other nodes are not told.
  * Network thread only.
  */
-public final class UpstreamRests {
+public final class UpstreamBackoffs {
 
-    private static final Logger LOGGER = LogManager.getLogger(UpstreamRests.class);
+    private static final Logger LOGGER = LogManager.getLogger(UpstreamBackoffs.class);
 
     /** Requests that an upstream may have at first after its rest. All that was held back would else come in the same moment. */
     private static final int FIRST_IN_FLIGHT = 1;
@@ -34,7 +34,7 @@
      * @param directory the upstreams
      * @param log       bounds log lines
      */
-    public UpstreamRests(UpstreamDirectory directory, DecisionLog log) {
+    public UpstreamBackoffs(UpstreamDirectory directory, DecisionLog log) {
         this.directory = directory;
         this.log = log;
         directory.subscribe(this::upstreamChanged);
@@ -48,12 +48,12 @@
      * @param taken    whether the upstream took the request that it answers
      * @param now      monotonic time in nanoseconds
      */
-    public void onResponse(String upstream, RestSignal signal, boolean taken, long now) {
-        if (signal instanceof RestSignal.Asked asked) {
+    public void onResponse(String upstream, BackoffSignal signal, boolean taken, long now) {
+        if (signal instanceof BackoffSignal.Asked asked) {
             asked(upstream, asked, now);
-        } else if (signal instanceof RestSignal.Absent && taken) {
+        } else if (signal instanceof BackoffSignal.Absent && taken) {
             recovers(upstream, now);
-        } else if (signal instanceof RestSignal.Unreadable unreadable && log.takesFailed(now)) {
+        } else if (signal instanceof BackoffSignal.Unreadable unreadable && log.takesFailed(now)) {
             LOGGER.warn("event=upstream-rest-unreadable upstream={} value=\"{}\"", upstream, unreadable.text());
         }
     }
@@ -108,8 +108,8 @@
         rests.keySet().removeIf(upstream -> directory.find(upstream).isEmpty());
     }
 
-    private void asked(String upstream, RestSignal.Asked asked, long now) {
-        Optional<UpstreamNews> known = directory.find(upstream);
+    private void asked(String upstream, BackoffSignal.Asked asked, long now) {
+        Optional<UpstreamRecord> known = directory.find(upstream);
         if (known.isEmpty()) {
             return;
         }
@@ -138,7 +138,7 @@
         }
     }
 
-    private void upstreamChanged(UpstreamNews news) {
+    private void upstreamChanged(UpstreamRecord news) {
         Rest rest = rests.get(news.id());
         if (rest != null && news.endsIncarnation(rest.incarnation())) {
             rests.remove(news.id());
--- a/library/src/main/java/org/copperspindle/backpressure/UpstreamLimits.java
+++ b/library/src/main/java/org/copperspindle/backpressure/UpstreamLimits.java
@@ -12,7 +12,7 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 import org.copperspindle.discovery.UpstreamDirectory;
-import org.copperspindle.discovery.UpstreamNews;
+import org.copperspindle.discovery.UpstreamRecord;
 import org.copperspindle.measure.DecisionLog;
 
 /**
@@ -100,7 +100,7 @@
     }
 
     /** Takes what another node has read, unless something later is known. */
-    void told(LimitNews news, long now) {
+    void told(LimitRecord news, long now) {
         long statedAt = now - news.ageMillis() * NANOS_PER_MILLI;
         Limit before = limits.get(news.upstream());
         boolean isLate = before != null && before.statedAt() - statedAt > 0;
@@ -114,19 +114,19 @@
     }
 
     /** Returns what is known of an upstream, for other nodes. */
-    Optional<LimitNews> news(String upstream, long now) {
+    Optional<LimitRecord> news(String upstream, long now) {
         return Optional.ofNullable(limits.get(upstream)).map(limit -> limit.news(upstream, now));
     }
 
     /** Returns all limits, for a node that has just come. */
-    List<LimitNews> all(long now) {
+    List<LimitRecord> all(long now) {
         return limits.entrySet().stream()
                 .map(known -> known.getValue().news(known.getKey(), now))
                 .toList();
     }
 
     private void stated(String upstream, OptionalDouble perSecond, long now) {
-        Optional<UpstreamNews> known = directory.find(upstream);
+        Optional<UpstreamRecord> known = directory.find(upstream);
         if (known.isEmpty()) {
             return;
         }
@@ -158,7 +158,7 @@
         return true;
     }
 
-    private void upstreamChanged(UpstreamNews news) {
+    private void upstreamChanged(UpstreamRecord news) {
         Limit limit = limits.get(news.id());
         if (limit != null && news.endsIncarnation(limit.incarnation())) {
             limits.remove(news.id());
@@ -188,8 +188,8 @@
      * @param statedAt    when it said so last, monotonic time in nanoseconds
      */
     private record Limit(OptionalDouble perSecond, long incarnation, long statedAt) {
-        private LimitNews news(String upstream, long now) {
-            return new LimitNews(upstream, incarnation, perSecond, (now - statedAt) / NANOS_PER_MILLI);
+        private LimitRecord news(String upstream, long now) {
+            return new LimitRecord(upstream, incarnation, perSecond, (now - statedAt) / NANOS_PER_MILLI);
         }
     }
 }
--- a/library/src/main/java/org/copperspindle/batch/BatchService.java
+++ b/library/src/main/java/org/copperspindle/batch/BatchService.java
@@ -13,7 +13,7 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 import org.copperspindle.discovery.UpstreamDirectory;
-import org.copperspindle.discovery.UpstreamNews;
+import org.copperspindle.discovery.UpstreamRecord;
 import org.copperspindle.measure.DecisionLog;
 import org.copperspindle.mesh.MeshListener;
 import org.copperspindle.mesh.MeshNode;
@@ -64,12 +64,12 @@
     private final UpstreamDirectory directory;
     private final StagePort port;
     private final Function<String, Optional<BatchLimits>> limits;
-    private final PackerStatus status;
+    private final DispatcherStatus status;
     private final DecisionLog log;
     private final Map<String, PoolDispatcher> dispatchers = new HashMap<>();
     private final Map<String, Load> loads = new HashMap<>();
-    private final PiecePromises promises = new PiecePromises();
-    private final StandstillWatch standstills = new StandstillWatch();
+    private final ExpectedPieces promises = new ExpectedPieces();
+    private final PauseDetector standstills = new PauseDetector();
     private final Map<Long, Pending> pending = new LinkedHashMap<>();
 
     /**
@@ -100,7 +100,7 @@
             UpstreamDirectory directory,
             StagePort port,
             Function<String, Optional<BatchLimits>> limits,
-            PackerStatus status,
+            DispatcherStatus status,
             DecisionLog log) {
         this.mesh = relay.mesh();
         this.relay = relay;
@@ -270,7 +270,7 @@
         } else if (message instanceof PoolLoadMessage load) {
             PoolLoad heard = new PoolLoad(load.waitMillis() * NANOS_PER_MILLI, load.perSecond(), load.expectedPieces());
             loads.put(load.pool(), new Load(heard, timers.nanoTime()));
-        } else if (message instanceof PoolPromiseMessage promise) {
+        } else if (message instanceof ExpectedPiecesMessage promise) {
             promises.heard(node.address(), promise.pool(), promise.pieces(), timers.nanoTime());
         }
     }
@@ -339,7 +339,7 @@
         if (owner.equals(mesh.self())) {
             promises.heard(owner, pool, pieces, timers.nanoTime());
         } else {
-            relay.send(owner, new PoolPromiseMessage(pool, pieces));
+            relay.send(owner, new ExpectedPiecesMessage(pool, pieces));
         }
     }
 
@@ -446,7 +446,7 @@
                         .limitCallsWith(admission));
     }
 
-    private void upstreamChanged(UpstreamNews news) {
+    private void upstreamChanged(UpstreamRecord news) {
         PoolDispatcher dispatcher = dispatchers.get(news.pool());
         if (dispatcher != null) {
             dispatcher.dispatch();
@@ -475,7 +475,7 @@
             for (String handle : handles) {
                 ResultHandle.producerAddress(handle)
                         .flatMap(directory::findByAddress)
-                        .map(UpstreamNews::pool)
+                        .map(UpstreamRecord::pool)
                         .ifPresent(pool -> byPool.computeIfAbsent(pool, p -> new ArrayList<>())
                                 .add(handle));
             }
--- a/library/src/main/java/org/copperspindle/batch/PackerStatus.java
+++ b/library/src/main/java/org/copperspindle/batch/DispatcherStatus.java
@@ -3,7 +3,7 @@
 /**
  * What a node knows of itself as one that packs calls for all nodes.
  */
-public interface PackerStatus {
+public interface DispatcherStatus {
 
     /**
      * Says whether the node takes work for others.
--- a/library/src/main/java/org/copperspindle/batch/PiecePromises.java
+++ b/library/src/main/java/org/copperspindle/batch/ExpectedPieces.java
@@ -9,7 +9,7 @@
  * stage before it; a request that comes then must know of them. Counted over all nodes: what one of 24 nodes has under way
  * says so little of the others that half of the requests which could be on time were held back.
  */
-final class PiecePromises {
+final class ExpectedPieces {
 
     /** A node tells its promises again after a third of this; one that is silent for so long has ended. */
     private static final long AGE_NANOS = Duration.ofMillis(1500).toNanos();
--- a/library/src/main/java/org/copperspindle/batch/PoolPromiseMessage.java
+++ b/library/src/main/java/org/copperspindle/batch/ExpectedPiecesMessage.java
@@ -11,17 +11,17 @@
  * @param pool   name of the pool
  * @param pieces pieces of stages that have not begun yet
  */
-public record PoolPromiseMessage(String pool, long pieces) implements WireMessage {
+public record ExpectedPiecesMessage(String pool, long pieces) implements WireMessage {
 
     /** Codec of this message. */
-    public static final MessageCodec<PoolPromiseMessage> CODEC =
-            MessageCodec.of(236, PoolPromiseMessage.class, PoolPromiseMessage::write, PoolPromiseMessage::read);
+    public static final MessageCodec<ExpectedPiecesMessage> CODEC = MessageCodec.of(
+            236, ExpectedPiecesMessage.class, ExpectedPiecesMessage::write, ExpectedPiecesMessage::read);
 
     private void write(FieldWriter out) {
         out.put(1, pool).put(2, pieces);
     }
 
-    private static PoolPromiseMessage read(FieldReader in) {
-        return new PoolPromiseMessage(in.getString(1), in.getLong(2, 0));
+    private static ExpectedPiecesMessage read(FieldReader in) {
+        return new ExpectedPiecesMessage(in.getString(1), in.getLong(2, 0));
     }
 }
--- a/library/src/main/java/org/copperspindle/batch/FetchTime.java
+++ b/library/src/main/java/org/copperspindle/batch/FetchTimeEstimator.java
@@ -12,7 +12,7 @@
  * <p>The time follows from the sizes and the link; what is not in these, such as a loaded link or a lost packet, shows in
  * results that were given up too early, which double the time. It comes back as calls go well.
  */
-public final class FetchTime {
+public final class FetchTimeEstimator {
 
     /** For the call to arrive, and for the first byte. */
     private static final long BASE_NANOS = Duration.ofMillis(25).toNanos();
--- a/library/src/main/java/org/copperspindle/batch/StandstillWatch.java
+++ b/library/src/main/java/org/copperspindle/batch/PauseDetector.java
@@ -9,7 +9,7 @@
  * <p>The process looks at its clock at least every {@link BatchService#LOAD_INTERVAL_NANOS}. After a standstill the first look may
  * be that of an answer which had been waiting, so that everything that judges a time looks here first.
  */
-final class StandstillWatch {
+final class PauseDetector {
 
     /** Several looks long: a busy process is late by less. */
     private static final long STANDSTILL_NANOS = Duration.ofMillis(500).toNanos();
--- a/library/src/main/java/org/copperspindle/batch/PoolDispatcher.java
+++ b/library/src/main/java/org/copperspindle/batch/PoolDispatcher.java
@@ -13,7 +13,7 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 import org.copperspindle.discovery.UpstreamDirectory;
-import org.copperspindle.discovery.UpstreamNews;
+import org.copperspindle.discovery.UpstreamRecord;
 import org.copperspindle.measure.DecisionLog;
 import org.copperspindle.route.BatchLimits;
 import org.copperspindle.time.DeferredTask;
@@ -56,8 +56,8 @@
     private final FreedResults freed;
     private final DeferredTask wake;
     private final CallParting parting = new CallParting();
-    private final FetchTime fetchTime = new FetchTime();
-    private Optional<StandstillWatch> standstills = Optional.empty();
+    private final FetchTimeEstimator fetchTime = new FetchTimeEstimator();
+    private Optional<PauseDetector> standstills = Optional.empty();
     private PoolWork work = PoolWork.NONE;
 
     PoolDispatcher(
@@ -81,7 +81,7 @@
     }
 
     /** Sets what tells whether this process stood still while a call was under way; without it, it never did. */
-    PoolDispatcher judgingBy(StandstillWatch watch) {
+    PoolDispatcher judgingBy(PauseDetector watch) {
         standstills = Optional.of(watch);
         return this;
     }
@@ -222,7 +222,7 @@
     private Optional<String> domainOf(String handle) {
         return ResultHandle.producerAddress(handle)
                 .flatMap(directory::findByAddress)
-                .map(UpstreamNews::failureDomain);
+                .map(UpstreamRecord::failureDomain);
     }
 
     private void send(StageUpstream upstream, List<PieceTask> tasks, BatchLimits known) {
--- a/library/src/main/java/org/copperspindle/batch/PoolUpstreams.java
+++ b/library/src/main/java/org/copperspindle/batch/PoolUpstreams.java
@@ -11,7 +11,7 @@
 import java.util.stream.Collectors;
 
 import org.copperspindle.discovery.UpstreamDirectory;
-import org.copperspindle.discovery.UpstreamNews;
+import org.copperspindle.discovery.UpstreamRecord;
 import org.copperspindle.route.BatchLimits;
 
 /**
@@ -41,7 +41,7 @@
     private final String pool;
     private final UpstreamDirectory directory;
     private final Map<String, StageUpstream> byId = new LinkedHashMap<>();
-    private List<UpstreamNews> ready = List.of();
+    private List<UpstreamRecord> ready = List.of();
     private CallAdmission admission = CallAdmission.ALL;
 
     PoolUpstreams(String pool, UpstreamDirectory directory) {
@@ -190,7 +190,7 @@
     }
 
     /** Returns what is known of an upstream. A restart under the same id has forgotten its results and its calls. */
-    private static StageUpstream known(StageUpstream known, UpstreamNews news) {
+    private static StageUpstream known(StageUpstream known, UpstreamRecord news) {
         if (known == null || known.news().incarnation() != news.incarnation()) {
             return new StageUpstream(news);
         }
--- a/library/src/main/java/org/copperspindle/batch/StagePort.java
+++ b/library/src/main/java/org/copperspindle/batch/StagePort.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-import org.copperspindle.discovery.UpstreamNews;
+import org.copperspindle.discovery.UpstreamRecord;
 
 /**
  * Speaks to the upstreams of stage pools.
@@ -18,7 +18,7 @@
      * @param timeoutMillis after which the call counts as lost
      * @param callback      told once how it ended
      */
-    void run(UpstreamNews upstream, List<StageItem> items, long timeoutMillis, Consumer<StageCallResult> callback);
+    void run(UpstreamRecord upstream, List<StageItem> items, long timeoutMillis, Consumer<StageCallResult> callback);
 
     /**
      * Gives results up. Their maker forgets them by itself after a while if it does not hear of it.
@@ -27,5 +27,5 @@
      * @param handles  their handles
      * @param ended    told once the maker has answered, or will not answer any more
      */
-    void free(UpstreamNews upstream, List<String> handles, Runnable ended);
+    void free(UpstreamRecord upstream, List<String> handles, Runnable ended);
 }
--- a/library/src/main/java/org/copperspindle/batch/StageUpstream.java
+++ b/library/src/main/java/org/copperspindle/batch/StageUpstream.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.function.Predicate;
 
-import org.copperspindle.discovery.UpstreamNews;
+import org.copperspindle.discovery.UpstreamRecord;
 import org.copperspindle.route.BatchLimits;
 
 /**
@@ -53,7 +53,7 @@
 
     private final Deque<Result> results = new ArrayDeque<>();
     private final Set<String> toFree = new LinkedHashSet<>();
-    private UpstreamNews news;
+    private UpstreamRecord news;
     private int calls;
     private int losses;
     private long pausedUntil;
@@ -67,15 +67,15 @@
     private long freedAt = Long.MIN_VALUE / 2;
     private boolean workedLast;
 
-    StageUpstream(UpstreamNews news) {
+    StageUpstream(UpstreamRecord news) {
         this.news = news;
     }
 
-    UpstreamNews news() {
+    UpstreamRecord news() {
         return news;
     }
 
-    void news(UpstreamNews newest) {
+    void news(UpstreamRecord newest) {
         news = newest;
     }
 
--- a/library/src/main/java/org/copperspindle/control/ControlDoor.java
+++ b/library/src/main/java/org/copperspindle/control/ControlEndpoint.java
@@ -21,7 +21,7 @@
  * The operators' HTTP interface of a control member: {@code POST /v1/config?base=N&change=ID&operator=NAME} with the
  * whole INI text as body, and {@code GET /v1/status}. A member that does not lead points to the leader.
  */
-public final class ControlDoor implements HttpRequestHandler {
+public final class ControlEndpoint implements HttpRequestHandler {
 
     private static final String JSON = "application/json";
     private static final String CONFIG_PATH = "/v1/config";
@@ -42,7 +42,7 @@
      * @param checks  runs the checks of whole files, off the network threads and the ring; may reject
      * @param service carries the changes out
      */
-    public ControlDoor(DecisionQueue queue, Executor checks, ControlService service) {
+    public ControlEndpoint(DecisionQueue queue, Executor checks, ControlService service) {
         this.queue = queue;
         this.checks = checks;
         this.service = service;
--- a/library/src/main/java/org/copperspindle/daemon/ControlRole.java
+++ b/library/src/main/java/org/copperspindle/daemon/ControlRole.java
@@ -21,7 +21,7 @@
 import org.copperspindle.consensus.ConsensusLog;
 import org.copperspindle.consensus.ConsensusSettings;
 import org.copperspindle.consensus.VoterAddress;
-import org.copperspindle.control.ControlDoor;
+import org.copperspindle.control.ControlEndpoint;
 import org.copperspindle.control.ControlService;
 import org.copperspindle.control.ControlState;
 import org.copperspindle.core.BackgroundThread;
@@ -81,8 +81,8 @@
         this.service = new ControlService(context.ring(), context.timers(), log, state, settings.lease());
         this.trail = new AuditDoor(context.ring(), () -> state.audit().head(), audit);
         Executor checks = BackgroundThread.create("config-check", WAITING_CHECKS);
-        this.door =
-                new ProbeDoor(this::ready, context.metrics()::scrape, new ControlDoor(context.ring(), checks, service));
+        this.door = new ProbeDoor(
+                this::ready, context.metrics()::scrape, new ControlEndpoint(context.ring(), checks, service));
         ProcessMetrics.publish(context.metrics(), "operators", operators.counters());
     }
 
--- a/library/src/main/java/org/copperspindle/dialect/AnnouncementFields.java
+++ b/library/src/main/java/org/copperspindle/dialect/AnnouncementFields.java
@@ -1,8 +1,8 @@
 package org.copperspindle.dialect;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import org.copperspindle.discovery.UpstreamNews;
 import org.copperspindle.discovery.UpstreamPhase;
+import org.copperspindle.discovery.UpstreamRecord;
 import org.copperspindle.wire.NumericAddress;
 
 /**
@@ -36,8 +36,8 @@
      * @return the announcement
      * @throws IllegalArgumentException if something is missing or wrong; names the field
      */
-    public UpstreamNews read(String id, JsonNode body) {
-        return new UpstreamNews(
+    public UpstreamRecord read(String id, JsonNode body) {
+        return new UpstreamRecord(
                 id,
                 readIncarnation(body),
                 JsonText.requireText(body, pool),
@@ -54,11 +54,13 @@
      * Reads which life of an upstream speaks.
      *
      * @param body what it says
-     * @return its incarnation; {@link UpstreamNews#UNKNOWN_INCARNATION} if it does not say so
+     * @return its incarnation; {@link UpstreamRecord#UNKNOWN_INCARNATION} if it does not say so
      * @throws IllegalArgumentException if it is no whole number above 0; names the field
      */
     public long readIncarnation(JsonNode body) {
-        return body.has(incarnation) ? JsonText.requireAtLeast(body, incarnation, 1) : UpstreamNews.UNKNOWN_INCARNATION;
+        return body.has(incarnation)
+                ? JsonText.requireAtLeast(body, incarnation, 1)
+                : UpstreamRecord.UNKNOWN_INCARNATION;
     }
 
     /** Fractions of a millisecond are rounded up: an upstream must not count as warm too early. */
--- a/library/src/main/java/org/copperspindle/dialect/ControlFormat.java
+++ b/library/src/main/java/org/copperspindle/dialect/ControlFormat.java
@@ -1,7 +1,7 @@
 package org.copperspindle.dialect;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import org.copperspindle.discovery.UpstreamNews;
+import org.copperspindle.discovery.UpstreamRecord;
 
 /**
  * How operators and upstreams of a deployment write what they want of a node.
@@ -82,13 +82,13 @@
      * @return the announcement
      * @throws IllegalArgumentException if something is missing or wrong; names the field
      */
-    UpstreamNews readAnnouncement(String id, JsonNode body);
+    UpstreamRecord readAnnouncement(String id, JsonNode body);
 
     /**
      * Reads which life of an upstream leaves.
      *
      * @param body what the upstream says when it leaves
-     * @return its incarnation; {@link UpstreamNews#UNKNOWN_INCARNATION} if it does not say so
+     * @return its incarnation; {@link UpstreamRecord#UNKNOWN_INCARNATION} if it does not say so
      * @throws IllegalArgumentException if what it says is wrong; names the field
      */
     long readDeparture(JsonNode body);
--- a/library/src/main/java/org/copperspindle/dialect/EvacuationCalls.java
+++ b/library/src/main/java/org/copperspindle/dialect/EvacuationEndpoint.java
@@ -11,8 +11,8 @@
 import org.copperspindle.dialect.ControlFormat.ControlCall;
 import org.copperspindle.edition.EvacuationCommand;
 import org.copperspindle.edition.EvacuationsMessage;
-import org.copperspindle.gateway.ControlAnswer;
-import org.copperspindle.gateway.EvacuationDesk;
+import org.copperspindle.gateway.ControlResponse;
+import org.copperspindle.gateway.EvacuationRequestHandler;
 import org.copperspindle.http.HttpExchange;
 import org.copperspindle.http.HttpRequestHandler;
 
@@ -21,7 +21,7 @@
  * them as this node knows them, {@code PUT} of one below it begins an evacuation, {@code DELETE} ends it. A deployment may write
  * the last two in another way besides.
  */
-final class EvacuationCalls implements HttpRequestHandler {
+final class EvacuationEndpoint implements HttpRequestHandler {
 
     /** Begins an evacuation; the failure domain's name follows. */
     static final ControlCall BEGIN = new ControlCall("PUT", "/v1/evacuations/");
@@ -37,9 +37,9 @@
     private static final int OK = 200;
     private static final int METHOD_NOT_ALLOWED = 405;
 
-    private final EvacuationDesk desk;
+    private final EvacuationRequestHandler desk;
     private final ControlFormat format;
-    private final BiConsumer<HttpExchange, ControlAnswer> others;
+    private final BiConsumer<HttpExchange, ControlResponse> others;
 
     /**
      * Creates the calls.
@@ -48,7 +48,8 @@
      * @param format how it is written
      * @param others answers with anything but success
      */
-    EvacuationCalls(EvacuationDesk desk, ControlFormat format, BiConsumer<HttpExchange, ControlAnswer> others) {
+    EvacuationEndpoint(
+            EvacuationRequestHandler desk, ControlFormat format, BiConsumer<HttpExchange, ControlResponse> others) {
         this.desk = desk;
         this.format = format;
         this.others = others;
@@ -63,7 +64,7 @@
     @Override
     public void handle(HttpExchange exchange) {
         if (isList(exchange) && exchange.method().equals("GET")) {
-            HttpControlDoor.answer(exchange, OK, list());
+            HttpControlEndpoint.answer(exchange, OK, list());
             return;
         }
         Optional<ControlCall> begins = find(exchange, BEGIN, format.evacuate());
@@ -73,7 +74,7 @@
         } else if (ends.isPresent()) {
             order(exchange, ends.get(), false);
         } else {
-            HttpControlDoor.answer(exchange, METHOD_NOT_ALLOWED, format.errorBody("method not allowed"));
+            HttpControlEndpoint.answer(exchange, METHOD_NOT_ALLOWED, format.errorBody("method not allowed"));
         }
     }
 
@@ -99,10 +100,10 @@
         }
     }
 
-    private void ordered(HttpExchange exchange, String name, boolean begins, ControlAnswer result) {
-        if (result instanceof ControlAnswer.Recorded) {
+    private void ordered(HttpExchange exchange, String name, boolean begins, ControlResponse result) {
+        if (result instanceof ControlResponse.Recorded) {
             JsonNode body = JsonText.nodes().objectNode().put(begins ? "evacuated" : "used", name);
-            HttpControlDoor.answer(exchange, OK, body);
+            HttpControlEndpoint.answer(exchange, OK, body);
         } else {
             others.accept(exchange, result);
         }
@@ -117,6 +118,6 @@
     }
 
     private void invalid(HttpExchange exchange, String problem) {
-        others.accept(exchange, new ControlAnswer.Invalid(problem));
+        others.accept(exchange, new ControlResponse.Invalid(problem));
     }
 }
--- a/library/src/main/java/org/copperspindle/dialect/HeaderCallers.java
+++ b/library/src/main/java/org/copperspindle/dialect/HeaderCallerDialect.java
@@ -17,7 +17,7 @@
 /**
  * Callers that say what they want in header fields.
  */
-public final class HeaderCallers implements CallerDialect {
+public final class HeaderCallerDialect implements CallerDialect {
 
     private static final String BEARER = "bearer ";
     private static final double MILLIS_PER_SECOND = 1000;
@@ -29,7 +29,7 @@
      *
      * @param names names of the fields
      */
-    public HeaderCallers(HeaderNames names) {
+    public HeaderCallerDialect(HeaderNames names) {
         this.names = names;
     }
 
@@ -59,7 +59,7 @@
                 exchange.uri(),
                 exchange.header(HeaderFields.HOST).orElse(""),
                 exchange.body(),
-                exchange.header(HeaderFields.AUTHORIZATION).flatMap(HeaderCallers::key),
+                exchange.header(HeaderFields.AUTHORIZATION).flatMap(HeaderCallerDialect::key),
                 deadline(exchange),
                 exchange.header(HeaderFields.LAST_EVENT_ID),
                 prompt(exchange.header(names.prompt()).orElse("")),
--- a/library/src/main/java/org/copperspindle/dialect/HeaderUpstreams.java
+++ b/library/src/main/java/org/copperspindle/dialect/HeaderUpstreamDialect.java
@@ -5,11 +5,11 @@
 import java.util.Optional;
 import java.util.Set;
 
+import org.copperspindle.backpressure.BackoffSignal;
 import org.copperspindle.backpressure.LimitSignal;
-import org.copperspindle.backpressure.RestSignal;
 import org.copperspindle.direct.DirectCall;
 import org.copperspindle.direct.DirectHead;
-import org.copperspindle.gateway.AttemptOrder;
+import org.copperspindle.gateway.AttemptSpec;
 import org.copperspindle.gateway.GatewayRequest;
 import org.copperspindle.gateway.UpstreamDialect;
 import org.copperspindle.http.HeaderField;
@@ -17,7 +17,7 @@
 /**
  * Upstreams that are told what to run in header fields.
  */
-public final class HeaderUpstreams implements UpstreamDialect {
+public final class HeaderUpstreamDialect implements UpstreamDialect {
 
     private static final int MISDIRECTED = 421;
     private static final int CONFLICT = 409;
@@ -32,12 +32,12 @@
      *
      * @param names names of the fields
      */
-    public HeaderUpstreams(HeaderNames names) {
+    public HeaderUpstreamDialect(HeaderNames names) {
         this.names = names;
     }
 
     @Override
-    public DirectCall write(AttemptOrder order) {
+    public DirectCall write(AttemptSpec order) {
         GatewayRequest request = order.request();
         List<HeaderField> fields = new ArrayList<>(request.fields());
         fields.add(new HeaderField(names.deadline(), Long.toString(order.remainingMillis())));
@@ -78,8 +78,10 @@
     }
 
     @Override
-    public RestSignal backoff(DirectHead head) {
-        return head.status() == UNAVAILABLE ? RestSignal.of(head.values(HeaderFields.RETRY_AFTER)) : RestSignal.ABSENT;
+    public BackoffSignal backoff(DirectHead head) {
+        return head.status() == UNAVAILABLE
+                ? BackoffSignal.of(head.values(HeaderFields.RETRY_AFTER))
+                : BackoffSignal.ABSENT;
     }
 
     @Override
--- a/library/src/main/java/org/copperspindle/dialect/HttpControlDoor.java
+++ b/library/src/main/java/org/copperspindle/dialect/HttpControlEndpoint.java
@@ -7,16 +7,16 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import org.copperspindle.dialect.ControlFormat.ControlCall;
-import org.copperspindle.discovery.UpstreamNews;
-import org.copperspindle.gateway.ControlAnswer;
-import org.copperspindle.gateway.ControlDesk;
+import org.copperspindle.discovery.UpstreamRecord;
+import org.copperspindle.gateway.ControlRequestHandler;
+import org.copperspindle.gateway.ControlResponse;
 import org.copperspindle.http.HttpExchange;
 import org.copperspindle.http.HttpRequestHandler;
 
 /**
  * A node's door for operators and upstreams.
  */
-public final class HttpControlDoor implements HttpRequestHandler {
+public final class HttpControlEndpoint implements HttpRequestHandler {
 
     private static final int OK = 200;
     private static final int TEMPORARY_REDIRECT = 307;
@@ -26,10 +26,10 @@
     private static final int UNAVAILABLE = 503;
     private static final JsonNode NOTHING = JsonText.nodes().objectNode();
 
-    private final ControlDesk desk;
+    private final ControlRequestHandler desk;
     private final ControlFormat format;
-    private final HeldRequestCalls heldRequests;
-    private final EvacuationCalls evacuations;
+    private final QuarantinedRequestsEndpoint heldRequests;
+    private final EvacuationEndpoint evacuations;
 
     /**
      * Creates the door.
@@ -37,16 +37,16 @@
      * @param desk   what may be asked for
      * @param format how it is written
      */
-    public HttpControlDoor(ControlDesk desk, ControlFormat format) {
+    public HttpControlEndpoint(ControlRequestHandler desk, ControlFormat format) {
         this.desk = desk;
         this.format = format;
-        this.heldRequests = new HeldRequestCalls(desk);
-        this.evacuations = new EvacuationCalls(desk.evacuations(), format, this::other);
+        this.heldRequests = new QuarantinedRequestsEndpoint(desk);
+        this.evacuations = new EvacuationEndpoint(desk.evacuations(), format, this::other);
     }
 
     @Override
     public void handle(HttpExchange exchange) {
-        if (HeldRequestCalls.isMeant(exchange)) {
+        if (QuarantinedRequestsEndpoint.isMeant(exchange)) {
             heldRequests.handle(exchange);
         } else if (evacuations.isMeant(exchange)) {
             evacuations.handle(exchange);
@@ -101,8 +101,9 @@
     private void left(HttpExchange exchange, String id) {
         try {
             boolean tellsMore = exchange.body().length > 0;
-            long incarnation =
-                    tellsMore ? format.readDeparture(JsonText.read(exchange.body())) : UpstreamNews.UNKNOWN_INCARNATION;
+            long incarnation = tellsMore
+                    ? format.readDeparture(JsonText.read(exchange.body()))
+                    : UpstreamRecord.UNKNOWN_INCARNATION;
             desk.left(id, incarnation);
             answer(exchange, OK, NOTHING);
         } catch (IOException | IllegalArgumentException e) {
@@ -115,16 +116,16 @@
         problem(exchange, BAD_REQUEST, "announcement: " + e.getMessage());
     }
 
-    private void accepted(HttpExchange exchange, ControlAnswer result) {
-        if (result instanceof ControlAnswer.Recorded recorded) {
+    private void accepted(HttpExchange exchange, ControlResponse result) {
+        if (result instanceof ControlResponse.Recorded recorded) {
             answer(exchange, OK, format.acceptedBody(recorded.version()));
         } else {
             other(exchange, result);
         }
     }
 
-    private void read(HttpExchange exchange, ControlAnswer result) {
-        if (!(result instanceof ControlAnswer.Recorded recorded)) {
+    private void read(HttpExchange exchange, ControlResponse result) {
+        if (!(result instanceof ControlResponse.Recorded recorded)) {
             other(exchange, result);
         } else if (recorded.text().isEmpty()) {
             problem(exchange, UNAVAILABLE, "no configuration was accepted yet");
@@ -133,14 +134,14 @@
         }
     }
 
-    private void other(HttpExchange exchange, ControlAnswer result) {
-        if (result instanceof ControlAnswer.Elsewhere elsewhere) {
+    private void other(HttpExchange exchange, ControlResponse result) {
+        if (result instanceof ControlResponse.Elsewhere elsewhere) {
             String target = exchange.uri().startsWith("/") ? exchange.uri() : exchange.path();
             String location = "http://" + elsewhere.control() + target;
             exchange.respond(TEMPORARY_REDIRECT, JsonText.CONTENT_TYPE, Map.of("Location", location), new byte[0]);
-        } else if (result instanceof ControlAnswer.Invalid invalid) {
+        } else if (result instanceof ControlResponse.Invalid invalid) {
             problem(exchange, BAD_REQUEST, invalid.problem());
-        } else if (result instanceof ControlAnswer.Unavailable unavailable) {
+        } else if (result instanceof ControlResponse.Unavailable unavailable) {
             problem(exchange, UNAVAILABLE, unavailable.reason());
         }
     }
--- a/library/src/main/java/org/copperspindle/dialect/StageCalls.java
+++ b/library/src/main/java/org/copperspindle/dialect/JsonStagePort.java
@@ -19,7 +19,7 @@
 import org.copperspindle.direct.DirectHead;
 import org.copperspindle.direct.DirectListener;
 import org.copperspindle.direct.UpstreamPort;
-import org.copperspindle.discovery.UpstreamNews;
+import org.copperspindle.discovery.UpstreamRecord;
 import org.copperspindle.http.HeaderField;
 import org.copperspindle.time.TimerService;
 import org.copperspindle.time.TimerSubscription;
@@ -27,9 +27,9 @@
 /**
  * Calls of stage upstreams with JSON bodies.
  */
-public final class StageCalls implements StagePort {
+public final class JsonStagePort implements StagePort {
 
-    private static final Logger LOGGER = LogManager.getLogger(StageCalls.class);
+    private static final Logger LOGGER = LogManager.getLogger(JsonStagePort.class);
     private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final long FREE_TIMEOUT_MILLIS = 2000;
 
@@ -46,7 +46,7 @@
      * @param port   sends calls
      * @param timers time on the network thread
      */
-    public StageCalls(StageCallFormat format, HeaderNames names, UpstreamPort port, TimerService timers) {
+    public JsonStagePort(StageCallFormat format, HeaderNames names, UpstreamPort port, TimerService timers) {
         this.format = format;
         this.names = names;
         this.port = port;
@@ -55,12 +55,12 @@
 
     @Override
     public void run(
-            UpstreamNews upstream, List<StageItem> items, long timeoutMillis, Consumer<StageCallResult> callback) {
+            UpstreamRecord upstream, List<StageItem> items, long timeoutMillis, Consumer<StageCallResult> callback) {
         call(upstream, format.runPath(), format.write(items), timeoutMillis, new Reply(items.size(), callback));
     }
 
     @Override
-    public void free(UpstreamNews upstream, List<String> handles, Runnable ended) {
+    public void free(UpstreamRecord upstream, List<String> handles, Runnable ended) {
         Reply reply = new Reply(0, result -> {
             if (!(result instanceof StageCallResult.Answered)) {
                 LOGGER.debug("event=results-not-freed upstream={} result={}", upstream.id(), result);
@@ -70,7 +70,7 @@
         call(upstream, format.freePath(), format.writeFreed(handles), FREE_TIMEOUT_MILLIS, reply);
     }
 
-    private void call(UpstreamNews upstream, String path, JsonNode body, long timeoutMillis, Reply reply) {
+    private void call(UpstreamRecord upstream, String path, JsonNode body, long timeoutMillis, Reply reply) {
         List<HeaderField> fields = List.of(
                 new HeaderField(HeaderFields.HOST, upstream.address()),
                 new HeaderField(HeaderFields.CONTENT_TYPE, JsonText.CONTENT_TYPE),
--- a/library/src/main/java/org/copperspindle/dialect/StandardControlFormat.java
+++ b/library/src/main/java/org/copperspindle/dialect/StandardControlFormat.java
@@ -1,7 +1,7 @@
 package org.copperspindle.dialect;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import org.copperspindle.discovery.UpstreamNews;
+import org.copperspindle.discovery.UpstreamRecord;
 
 /**
  * The project's own calls of operators and upstreams.
@@ -35,12 +35,12 @@
 
     @Override
     public ControlCall evacuate() {
-        return EvacuationCalls.BEGIN;
+        return EvacuationEndpoint.BEGIN;
     }
 
     @Override
     public ControlCall endEvacuation() {
-        return EvacuationCalls.END;
+        return EvacuationEndpoint.END;
     }
 
     @Override
@@ -59,7 +59,7 @@
     }
 
     @Override
-    public UpstreamNews readAnnouncement(String id, JsonNode body) {
+    public UpstreamRecord readAnnouncement(String id, JsonNode body) {
         return UPSTREAM.read(id, body);
     }
 
--- a/library/src/main/java/org/copperspindle/dialect/StandardDialects.java
+++ b/library/src/main/java/org/copperspindle/dialect/StandardDialects.java
@@ -3,7 +3,7 @@
 import org.copperspindle.batch.StagePort;
 import org.copperspindle.direct.UpstreamPort;
 import org.copperspindle.gateway.CallerDialect;
-import org.copperspindle.gateway.ControlDesk;
+import org.copperspindle.gateway.ControlRequestHandler;
 import org.copperspindle.gateway.GatewayDialects;
 import org.copperspindle.gateway.UpstreamDialect;
 import org.copperspindle.http.HttpRequestHandler;
@@ -17,12 +17,12 @@
 
     @Override
     public CallerDialect callerDialect() {
-        return new HeaderCallers(HeaderNames.STANDARD);
+        return new HeaderCallerDialect(HeaderNames.STANDARD);
     }
 
     @Override
     public UpstreamDialect upstreamDialect() {
-        return new HeaderUpstreams(HeaderNames.STANDARD);
+        return new HeaderUpstreamDialect(HeaderNames.STANDARD);
     }
 
     @Override
@@ -32,11 +32,11 @@
 
     @Override
     public StagePort stagePort(UpstreamPort port, TimerService timers) {
-        return new StageCalls(new StandardStageFormat(), HeaderNames.STANDARD, port, timers);
+        return new JsonStagePort(new StandardStageFormat(), HeaderNames.STANDARD, port, timers);
     }
 
     @Override
-    public HttpRequestHandler controlEndpoint(ControlDesk desk) {
-        return new HttpControlDoor(desk, new StandardControlFormat());
+    public HttpRequestHandler controlEndpoint(ControlRequestHandler desk) {
+        return new HttpControlEndpoint(desk, new StandardControlFormat());
     }
 }
--- a/library/src/main/java/org/copperspindle/discovery/DirectoryGossip.java
+++ b/library/src/main/java/org/copperspindle/discovery/DirectoryGossip.java
@@ -27,7 +27,7 @@
     private final NodeMesh mesh;
     private final TimerService timers;
     private final UpstreamDirectory directory;
-    private final Map<String, UpstreamNews> waiting = new LinkedHashMap<>();
+    private final Map<String, UpstreamRecord> waiting = new LinkedHashMap<>();
 
     /**
      * Creates the gossip; to be subscribed to the mesh.
@@ -47,10 +47,10 @@
      *
      * @param news the announcement
      */
-    public void onAnnouncement(UpstreamNews news) {
+    public void onAnnouncement(UpstreamRecord news) {
         DirectoryChange change = directory.accept(news, timers.nanoTime());
         if (change == DirectoryChange.CHANGED) {
-            mesh.broadcast(new UpstreamNewsMessage(List.of(news)));
+            mesh.broadcast(new UpstreamRecordsMessage(List.of(news)));
         } else if (change == DirectoryChange.REFRESHED) {
             later(news);
         }
@@ -60,13 +60,13 @@
      * Takes note that an upstream has left.
      *
      * @param id          its id
-     * @param incarnation the life that has ended; {@link UpstreamNews#UNKNOWN_INCARNATION} for the one known here
+     * @param incarnation the life that has ended; {@link UpstreamRecord#UNKNOWN_INCARNATION} for the one known here
      * @param reason      how this is known
      */
     public void onLeft(String id, long incarnation, String reason) {
         directory
                 .leave(id, incarnation, reason, timers.nanoTime())
-                .ifPresent(news -> mesh.broadcast(new UpstreamNewsMessage(List.of(news))));
+                .ifPresent(news -> mesh.broadcast(new UpstreamRecordsMessage(List.of(news))));
     }
 
     /**
@@ -77,25 +77,25 @@
     public void onLeaving(String id) {
         directory
                 .leaving(id, timers.nanoTime())
-                .ifPresent(news -> mesh.broadcast(new UpstreamNewsMessage(List.of(news))));
+                .ifPresent(news -> mesh.broadcast(new UpstreamRecordsMessage(List.of(news))));
     }
 
     @Override
     public void onNodeUp(MeshNode node) {
-        List<UpstreamNews> all = directory.all(timers.nanoTime());
+        List<UpstreamRecord> all = directory.all(timers.nanoTime());
         if (!all.isEmpty()) {
-            node.send(new UpstreamNewsMessage(all));
+            node.send(new UpstreamRecordsMessage(all));
         }
     }
 
     @Override
     public void onMessage(MeshNode node, WireMessage message) {
-        if (message instanceof UpstreamNewsMessage received) {
+        if (message instanceof UpstreamRecordsMessage received) {
             received.news().forEach(news -> directory.accept(news, timers.nanoTime()));
         }
     }
 
-    private void later(UpstreamNews news) {
+    private void later(UpstreamRecord news) {
         if (waiting.isEmpty()) {
             timers.schedule(BATCH_NANOS, this::flush);
         }
@@ -105,7 +105,7 @@
     private void flush() {
         long now = timers.nanoTime();
         directory.forgetSilent(now);
-        mesh.broadcast(new UpstreamNewsMessage(waiting.values().stream()
+        mesh.broadcast(new UpstreamRecordsMessage(waiting.values().stream()
                 .map(news -> news.withAge(directory.silenceMillis(news.id(), now)))
                 .toList()));
         waiting.clear();
--- a/library/src/main/java/org/copperspindle/discovery/DirectoryListener.java
+++ b/library/src/main/java/org/copperspindle/discovery/DirectoryListener.java
@@ -11,5 +11,5 @@
      *
      * @param news what is known of it now
      */
-    void onChange(UpstreamNews news);
+    void onChange(UpstreamRecord news);
 }
--- a/library/src/main/java/org/copperspindle/discovery/UpstreamDirectory.java
+++ b/library/src/main/java/org/copperspindle/discovery/UpstreamDirectory.java
@@ -52,7 +52,7 @@
      */
     public void evacuate(Set<String> failureDomains, long now) {
         Set<String> changed = evacuated.replace(failureDomains, now);
-        List<UpstreamNews> concerned = byId.values().stream()
+        List<UpstreamRecord> concerned = byId.values().stream()
                 .map(Known::news)
                 .filter(news -> news.phase() != UpstreamPhase.GONE && changed.contains(news.failureDomain()))
                 .toList();
@@ -97,7 +97,7 @@
      * @param now  monotonic time in nanoseconds
      * @return true if it bears little
      */
-    public boolean isCold(UpstreamNews news, long now) {
+    public boolean isCold(UpstreamRecord news, long now) {
         Known known = byId.get(news.id());
         boolean stated = known != null
                 && known.news().isCold()
@@ -112,8 +112,8 @@
      * @param now       monotonic time in nanoseconds
      * @return what it changed
      */
-    public DirectoryChange accept(UpstreamNews announced, long now) {
-        UpstreamNews news = sinceItLeaves(announced);
+    public DirectoryChange accept(UpstreamRecord announced, long now) {
+        UpstreamRecord news = sinceItLeaves(announced);
         long heardAt = now - Duration.ofMillis(Math.max(0, news.ageMillis())).toNanos();
         Known before = byId.get(news.id());
         if (before != null && isLate(before.news(), news)) {
@@ -155,16 +155,16 @@
      * Notes that an upstream has left.
      *
      * @param id          its id
-     * @param incarnation the life that has ended; {@link UpstreamNews#UNKNOWN_INCARNATION} for the one known here
+     * @param incarnation the life that has ended; {@link UpstreamRecord#UNKNOWN_INCARNATION} for the one known here
      * @param reason      how this is known
      * @param now         monotonic time in nanoseconds
      * @return what is passed on to other nodes, empty if it was known to have left
      */
-    public Optional<UpstreamNews> leave(String id, long incarnation, String reason, long now) {
+    public Optional<UpstreamRecord> leave(String id, long incarnation, String reason, long now) {
         Known known = byId.get(id);
         // Other nodes may know an upstream that this one has not heard of yet.
-        UpstreamNews gone = known == null || isOther(incarnation, known.news())
-                ? UpstreamNews.goneUnheard(id, incarnation)
+        UpstreamRecord gone = known == null || isOther(incarnation, known.news())
+                ? UpstreamRecord.goneUnheard(id, incarnation)
                 : known.news().gone().withAge(0);
         if (known != null && isLate(known.news(), gone)) {
             return Optional.empty();
@@ -186,8 +186,8 @@
      * @param now monotonic time in nanoseconds
      * @return what is passed on to other nodes, empty if it was known to leave
      */
-    public Optional<UpstreamNews> leaving(String id, long now) {
-        Optional<UpstreamNews> leaving = find(id).filter(news -> news.phase() != UpstreamPhase.LEAVING)
+    public Optional<UpstreamRecord> leaving(String id, long now) {
+        Optional<UpstreamRecord> leaving = find(id).filter(news -> news.phase() != UpstreamPhase.LEAVING)
                 .map(news -> news.leaving().withAge(0));
         leaving.ifPresent(news -> accept(news, now));
         return leaving;
@@ -209,7 +209,7 @@
      * @param id its id
      * @return what it said last
      */
-    public Optional<UpstreamNews> find(String id) {
+    public Optional<UpstreamRecord> find(String id) {
         return Optional.ofNullable(byId.get(id)).map(Known::news).filter(news -> news.phase() != UpstreamPhase.GONE);
     }
 
@@ -219,7 +219,7 @@
      * @param address IP:PORT
      * @return the upstream that holds it now
      */
-    public Optional<UpstreamNews> findByAddress(String address) {
+    public Optional<UpstreamRecord> findByAddress(String address) {
         return Optional.ofNullable(holders.get(address)).flatMap(this::find);
     }
 
@@ -229,10 +229,10 @@
      * @param pool name of the pool
      * @return in no order
      */
-    public List<UpstreamNews> ready(String pool) {
-        List<UpstreamNews> found = new ArrayList<>();
+    public List<UpstreamRecord> ready(String pool) {
+        List<UpstreamRecord> found = new ArrayList<>();
         for (Known known : byId.values()) {
-            UpstreamNews news = known.news();
+            UpstreamRecord news = known.news();
             boolean ready = news.phase() == UpstreamPhase.READY && news.pool().equals(pool);
             if (ready && !isEvacuated(news.failureDomain()) && holds(news.id(), news.address())) {
                 found.add(news);
@@ -281,7 +281,7 @@
      * @param now monotonic time in nanoseconds
      * @return with the upstreams that left a short while ago
      */
-    public List<UpstreamNews> all(long now) {
+    public List<UpstreamRecord> all(long now) {
         forgetSilent(now);
         return byId.values().stream()
                 .map(known -> known.news().withAge(silenceMillis(known.news().id(), now)))
@@ -292,7 +292,7 @@
      * Returns an announcement as it counts for an upstream that leaves. It may go on to announce itself as before for a while, and nodes
      * pass on what they heard earlier.
      */
-    private UpstreamNews sinceItLeaves(UpstreamNews announced) {
+    private UpstreamRecord sinceItLeaves(UpstreamRecord announced) {
         Known known = byId.get(announced.id());
         boolean leaves = known != null
                 && known.news().phase() == UpstreamPhase.LEAVING
@@ -300,13 +300,13 @@
         return leaves && announced.phase() != UpstreamPhase.GONE ? announced.leaving() : announced;
     }
 
-    private DirectoryChange leave(Known before, UpstreamNews news, long now) {
+    private DirectoryChange leave(Known before, UpstreamRecord news, long now) {
         if (before == null) {
             byId.put(news.id(), new Known(news, now, now));
             return DirectoryChange.NONE;
         }
         holders.remove(before.news().address(), news.id());
-        UpstreamNews gone = isOther(news.incarnation(), before.news())
+        UpstreamRecord gone = isOther(news.incarnation(), before.news())
                 ? news
                 : before.news().gone();
         byId.put(news.id(), new Known(gone, now, now));
@@ -314,7 +314,7 @@
         return DirectoryChange.CHANGED;
     }
 
-    private boolean takeAddress(UpstreamNews news, long heardAt) {
+    private boolean takeAddress(UpstreamRecord news, long heardAt) {
         String holder = holders.get(news.address());
         Known held = holder == null ? null : byId.get(holder);
         if (held != null && held.heardAt() > heardAt) {
@@ -332,7 +332,7 @@
         return id.equals(holders.get(address));
     }
 
-    private void tell(UpstreamNews news) {
+    private void tell(UpstreamRecord news) {
         listeners.forEach(listener -> listener.onChange(news));
     }
 
@@ -342,10 +342,10 @@
      * would stay unused until it had announced itself as often as before, and one held up on its way from the former life
      * would undo a drain.
      */
-    private static boolean isLate(UpstreamNews known, UpstreamNews news) {
+    private static boolean isLate(UpstreamRecord known, UpstreamRecord news) {
         boolean wasGone = known.phase() == UpstreamPhase.GONE;
         boolean isGone = news.phase() == UpstreamPhase.GONE;
-        boolean lifeUnknown = wasGone && known.incarnation() == UpstreamNews.UNKNOWN_INCARNATION;
+        boolean lifeUnknown = wasGone && known.incarnation() == UpstreamRecord.UNKNOWN_INCARNATION;
         if (!lifeUnknown && isOther(news.incarnation(), known)) {
             return news.incarnation() < known.incarnation();
         }
@@ -358,16 +358,16 @@
     }
 
     /** Says whether an incarnation that was told is another one than that of what is known. */
-    private static boolean isOther(long incarnation, UpstreamNews known) {
-        return incarnation != UpstreamNews.UNKNOWN_INCARNATION && incarnation != known.incarnation();
+    private static boolean isOther(long incarnation, UpstreamRecord known) {
+        return incarnation != UpstreamRecord.UNKNOWN_INCARNATION && incarnation != known.incarnation();
     }
 
     /**
      * Returns the news as if they carried the age and number of the older ones, to compare the rest. For how long an upstream
      * stays cold changes with each announcement; only whether it does is a change.
      */
-    private static UpstreamNews withSequence(UpstreamNews news, UpstreamNews older) {
-        return new UpstreamNews(
+    private static UpstreamRecord withSequence(UpstreamRecord news, UpstreamRecord older) {
+        return new UpstreamRecord(
                 news.id(),
                 news.incarnation(),
                 news.pool(),
@@ -381,5 +381,5 @@
     }
 
     /** An upstream, when it was heard last, and when it said what is known of it. */
-    private record Known(UpstreamNews news, long heardAt, long statedAt) {}
+    private record Known(UpstreamRecord news, long heardAt, long statedAt) {}
 }
--- a/library/src/main/java/org/copperspindle/discovery/UpstreamNews.java
+++ b/library/src/main/java/org/copperspindle/discovery/UpstreamRecord.java
@@ -9,7 +9,8 @@
  * What an upstream said of itself.
  *
  * @param id            identity of the upstream; a restart may have another or the same
- * @param incarnation   when this life of its process began, milliseconds since 1970 on its own clock; tells lives under one
+ * @param incarnation   when this life of its process began, milliseconds since 1970 on its own clock; tells lives
+ *                      under one
  *                      id apart. {@link #UNKNOWN_INCARNATION} if it does not say so
  * @param pool          its pool
  * @param address       IP:PORT for requests; may later belong to another upstream
@@ -20,7 +21,7 @@
  * @param ageMillis     how long ago the sender of this record heard it
  * @param coldMillis    how much longer it stays cold, counted from when it said so; 0 if it is not cold
  */
-public record UpstreamNews(
+public record UpstreamRecord(
         String id,
         long incarnation,
         String pool,
@@ -37,22 +38,22 @@
     public static final long UNKNOWN_INCARNATION = 0;
 
     /** Codec of this message. */
-    static final MessageCodec<UpstreamNews> CODEC =
-            MessageCodec.of(220, UpstreamNews.class, UpstreamNews::write, UpstreamNews::read);
+    static final MessageCodec<UpstreamRecord> CODEC =
+            MessageCodec.of(220, UpstreamRecord.class, UpstreamRecord::write, UpstreamRecord::read);
 
     /**
      * Makes the record of an upstream that has left.
      *
      * @return the same upstream, gone
      */
-    public UpstreamNews gone() {
-        return new UpstreamNews(
+    public UpstreamRecord gone() {
+        return new UpstreamRecord(
                 id, incarnation, pool, address, failureDomain, UpstreamPhase.GONE, slots, sequence, ageMillis, 0);
     }
 
     /** Makes the record of an upstream that has said that it leaves. */
-    UpstreamNews leaving() {
-        return new UpstreamNews(
+    UpstreamRecord leaving() {
+        return new UpstreamRecord(
                 id,
                 incarnation,
                 pool,
@@ -72,12 +73,12 @@
      * @param incarnation the life that has ended
      * @return a record without address and pool
      */
-    static UpstreamNews goneUnheard(String id, long incarnation) {
-        return new UpstreamNews(id, incarnation, "", "", "", UpstreamPhase.GONE, 0, 0, 0, 0);
+    static UpstreamRecord goneUnheard(String id, long incarnation) {
+        return new UpstreamRecord(id, incarnation, "", "", "", UpstreamPhase.GONE, 0, 0, 0, 0);
     }
 
-    UpstreamNews withAge(long millis) {
-        return new UpstreamNews(
+    UpstreamRecord withAge(long millis) {
+        return new UpstreamRecord(
                 id, incarnation, pool, address, failureDomain, phase, slots, sequence, millis, coldMillis);
     }
 
@@ -100,7 +101,7 @@
         return CODEC.encode(this);
     }
 
-    static UpstreamNews decode(byte[] bytes) {
+    static UpstreamRecord decode(byte[] bytes) {
         return CODEC.decodePart(bytes);
     }
 
@@ -117,8 +118,8 @@
                 .put(10, coldMillis);
     }
 
-    private static UpstreamNews read(FieldReader in) {
-        return new UpstreamNews(
+    private static UpstreamRecord read(FieldReader in) {
+        return new UpstreamRecord(
                 in.getString(1),
                 in.getLong(9, UNKNOWN_INCARNATION),
                 in.getString(2),
--- /dev/null
+++ b/library/src/main/java/org/copperspindle/discovery/UpstreamRecordsMessage.java
@@ -0,0 +1,34 @@
+package org.copperspindle.discovery;
+
+import java.util.List;
+
+import org.copperspindle.wire.FieldReader;
+import org.copperspindle.wire.FieldWriter;
+import org.copperspindle.wire.MessageCodec;
+import org.copperspindle.wire.WireMessage;
+
+/**
+ * Announcements that a node passes on to another.
+ *
+ * @param news in the order in which they were heard
+ */
+public record UpstreamRecordsMessage(List<UpstreamRecord> news) implements WireMessage {
+
+    /** Codec of this message. */
+    public static final MessageCodec<UpstreamRecordsMessage> CODEC = MessageCodec.of(
+            221, UpstreamRecordsMessage.class, UpstreamRecordsMessage::write, UpstreamRecordsMessage::read);
+
+    /** Copies the list. */
+    public UpstreamRecordsMessage {
+        news = List.copyOf(news);
+    }
+
+    private void write(FieldWriter out) {
+        out.put(1, news.stream().map(UpstreamRecord::encode).toList());
+    }
+
+    private static UpstreamRecordsMessage read(FieldReader in) {
+        return new UpstreamRecordsMessage(
+                in.getList(1).stream().map(UpstreamRecord::decode).toList());
+    }
+}
--- a/library/src/main/java/org/copperspindle/gateway/AdmittedRequest.java
+++ b/library/src/main/java/org/copperspindle/gateway/AdmittedRequest.java
@@ -4,7 +4,7 @@
 import java.util.stream.IntStream;
 
 import org.copperspindle.quarantine.RequestDigest;
-import org.copperspindle.quarantine.WatchedRequest;
+import org.copperspindle.quarantine.TrackedRequest;
 import org.copperspindle.route.BatchLimits;
 import org.copperspindle.route.ClientAccount;
 import org.copperspindle.route.Route;
@@ -46,8 +46,8 @@
     }
 
     /** Describes the request to the quarantine. */
-    WatchedRequest watched() {
-        return new WatchedRequest(
+    TrackedRequest watched() {
+        return new TrackedRequest(
                 request.id(),
                 route.name(),
                 accountName(),
--- a/library/src/main/java/org/copperspindle/gateway/AttemptOrder.java
+++ b/library/src/main/java/org/copperspindle/gateway/AttemptSpec.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 
 import org.copperspindle.direct.ConnectionUse;
-import org.copperspindle.discovery.UpstreamNews;
+import org.copperspindle.discovery.UpstreamRecord;
 
 /**
  * One attempt of a request at one upstream.
@@ -18,9 +18,9 @@
  * @param rank            urgency, 0 first
  * @param connectionUse   on which connection it may go out
  */
-public record AttemptOrder(
+public record AttemptSpec(
         GatewayRequest request,
-        UpstreamNews upstream,
+        UpstreamRecord upstream,
         long remainingMillis,
         Optional<String> account,
         Optional<List<String>> inputs,
--- a/library/src/main/java/org/copperspindle/gateway/AttemptTurn.java
+++ b/library/src/main/java/org/copperspindle/gateway/AttemptTurn.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 
 import org.copperspindle.backpressure.PermitResult;
-import org.copperspindle.discovery.UpstreamNews;
+import org.copperspindle.discovery.UpstreamRecord;
 import org.copperspindle.route.UpstreamPool;
 
 /**
@@ -95,12 +95,12 @@
     private void seek(UpstreamPool pool, long now) {
         UpstreamChooser chooser = context.chooser();
         Set<String> passedOver = asks < MAX_ASKS ? tried : withLimited(pool, now);
-        Optional<UpstreamNews> chosen = chooser.choose(pool, admitted.request(), inputs, passedOver, now);
+        Optional<UpstreamRecord> chosen = chooser.choose(pool, admitted.request(), inputs, passedOver, now);
         if (chosen.isPresent()) {
             take(pool, chosen.get());
             return;
         }
-        Optional<UpstreamNews> limited = reserveAsked.size() < MAX_RESERVES
+        Optional<UpstreamRecord> limited = reserveAsked.size() < MAX_RESERVES
                 ? chooser.soonestLimited(pool, union(tried, reserveAsked), now)
                 : Optional.empty();
         long patience = admitted.times().patienceAt() - now;
@@ -124,7 +124,7 @@
         }
     }
 
-    private void take(UpstreamPool pool, UpstreamNews upstream) {
+    private void take(UpstreamPool pool, UpstreamRecord upstream) {
         if (context.permits().isNeeded(upstream.id())) {
             asks++;
             ask(pool, upstream, 0);
@@ -133,11 +133,11 @@
         }
     }
 
-    private void ask(UpstreamPool pool, UpstreamNews upstream, long longestWait) {
+    private void ask(UpstreamPool pool, UpstreamRecord upstream, long longestWait) {
         context.permits().requestPermit(upstream.id(), longestWait, result -> answered(pool, upstream, result));
     }
 
-    private void answered(UpstreamPool pool, UpstreamNews upstream, PermitResult result) {
+    private void answered(UpstreamPool pool, UpstreamRecord upstream, PermitResult result) {
         if (over) {
             return;
         }
@@ -153,7 +153,7 @@
     }
 
     /** Uses a permit, unless the upstream has become unfit while it was waited for. */
-    private void use(UpstreamPool pool, UpstreamNews upstream) {
+    private void use(UpstreamPool pool, UpstreamRecord upstream) {
         if (over) {
             return;
         }
@@ -164,7 +164,7 @@
         }
     }
 
-    private void go(UpstreamNews upstream) {
+    private void go(UpstreamRecord upstream) {
         over = true;
         listener.onTurn(upstream);
     }
@@ -191,7 +191,7 @@
          *
          * @param upstream where to
          */
-        void onTurn(UpstreamNews upstream);
+        void onTurn(UpstreamRecord upstream);
 
         /**
          * No upstream can take the request in its time.
--- a/library/src/main/java/org/copperspindle/gateway/ControlDesk.java
+++ b/library/src/main/java/org/copperspindle/gateway/ControlRequestHandler.java
@@ -8,10 +8,10 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 import org.copperspindle.discovery.DirectoryGossip;
-import org.copperspindle.discovery.UpstreamNews;
+import org.copperspindle.discovery.UpstreamRecord;
 import org.copperspindle.edition.EditionMember;
 import org.copperspindle.edition.EditionMessage;
-import org.copperspindle.quarantine.HeldRequest;
+import org.copperspindle.quarantine.QuarantinedRequest;
 import org.copperspindle.quarantine.RequestDigest;
 import org.copperspindle.quarantine.RequestQuarantine;
 import org.copperspindle.route.RouteTable;
@@ -21,9 +21,9 @@
 /**
  * What operators and upstreams may ask of a node. Network thread only; answers come on it.
  */
-public final class ControlDesk {
+public final class ControlRequestHandler {
 
-    private static final Logger LOGGER = LogManager.getLogger(ControlDesk.class);
+    private static final Logger LOGGER = LogManager.getLogger(ControlRequestHandler.class);
 
     private final DirectoryGossip gossip;
     private final GroupQuestions group;
@@ -31,16 +31,16 @@
     private final Supplier<Optional<RouteTable>> held;
     private final IgnoredAnnouncements ignored;
     private final RequestQuarantine quarantine;
-    private final EvacuationDesk evacuations;
+    private final EvacuationRequestHandler evacuations;
 
-    ControlDesk(
+    ControlRequestHandler(
             DirectoryGossip gossip,
             GroupQuestions group,
             RouteTableReader reader,
             Supplier<Optional<RouteTable>> held,
             IgnoredAnnouncements ignored,
             RequestQuarantine quarantine,
-            EvacuationDesk evacuations) {
+            EvacuationRequestHandler evacuations) {
         this.gossip = gossip;
         this.group = group;
         this.reader = reader;
@@ -60,7 +60,7 @@
      * @param news the announcement
      * @return why it is ignored; empty if it was taken
      */
-    public Optional<String> announced(UpstreamNews news) {
+    public Optional<String> announced(UpstreamRecord news) {
         boolean known = held.get().map(t -> t.findPool(news.pool()).isPresent()).orElse(true);
         if (!known) {
             ignored(news.id(), "unknown-pool", news.pool());
@@ -85,7 +85,7 @@
      * Takes note that an upstream leaves; this has been passed on to all nodes when this returns.
      *
      * @param id          its id
-     * @param incarnation the life that has ended; {@link UpstreamNews#UNKNOWN_INCARNATION} for the one known here
+     * @param incarnation the life that has ended; {@link UpstreamRecord#UNKNOWN_INCARNATION} for the one known here
      */
     public void left(String id, long incarnation) {
         gossip.onLeft(id, incarnation, "deregistered");
@@ -96,7 +96,7 @@
      *
      * @return as this node knows them
      */
-    public List<HeldRequest> heldRequests() {
+    public List<QuarantinedRequest> heldRequests() {
         return quarantine.quarantined();
     }
 
@@ -116,11 +116,11 @@
      * @param text   the whole text
      * @param answer told how it ended
      */
-    public void accept(byte[] text, Consumer<ControlAnswer> answer) {
+    public void accept(byte[] text, Consumer<ControlResponse> answer) {
         RouteTableResult result = reader.read(text);
         if (result instanceof RouteTableResult.Invalid invalid) {
             LOGGER.info("event=version-refused bytes={} problem=\"{}\"", text.length, invalid.problem());
-            answer.accept(new ControlAnswer.Invalid(invalid.problem()));
+            answer.accept(new ControlResponse.Invalid(invalid.problem()));
         } else if (result instanceof RouteTableResult.Valid valid) {
             EditionMessage edition = new EditionMessage(valid.table().version(), text);
             group.ask((member, ended) -> member.put(edition, ended), ended -> {
@@ -139,7 +139,7 @@
      *
      * @return its own desk
      */
-    public EvacuationDesk evacuations() {
+    public EvacuationRequestHandler evacuations() {
         return evacuations;
     }
 
@@ -148,12 +148,12 @@
      *
      * @param answer told the text
      */
-    public void read(Consumer<ControlAnswer> answer) {
+    public void read(Consumer<ControlResponse> answer) {
         group.ask(EditionMember::read, answer);
     }
 
-    private static String describe(ControlAnswer result) {
-        return result instanceof ControlAnswer.Recorded recorded
+    private static String describe(ControlResponse result) {
+        return result instanceof ControlResponse.Recorded recorded
                 ? "recorded newest=" + recorded.version()
                 : result.getClass().getSimpleName();
     }
--- a/library/src/main/java/org/copperspindle/gateway/EvacuationDesk.java
+++ b/library/src/main/java/org/copperspindle/gateway/EvacuationRequestHandler.java
@@ -11,15 +11,15 @@
 /**
  * What operators may ask of a node about the evacuation of failure domains. Network thread only; answers come on it.
  */
-public final class EvacuationDesk {
+public final class EvacuationRequestHandler {
 
-    private static final Logger LOGGER = LogManager.getLogger(EvacuationDesk.class);
+    private static final Logger LOGGER = LogManager.getLogger(EvacuationRequestHandler.class);
 
     private final GroupQuestions group;
     private final Supplier<EvacuationsMessage> held;
     private final KnownDomains domains;
 
-    EvacuationDesk(GroupQuestions group, Supplier<EvacuationsMessage> held, KnownDomains domains) {
+    EvacuationRequestHandler(GroupQuestions group, Supplier<EvacuationsMessage> held, KnownDomains domains) {
         this.group = group;
         this.held = held;
         this.domains = domains;
@@ -31,11 +31,11 @@
      * @param order  the order; its name need not be known
      * @param answer told how it ended
      */
-    public void order(EvacuationCommand order, Consumer<ControlAnswer> answer) {
+    public void order(EvacuationCommand order, Consumer<ControlResponse> answer) {
         // What is held was known to the node that took the order.
         if (!domains.isKnown(order.failureDomain()) && !held.get().contains(order.failureDomain())) {
             LOGGER.info("event=evacuation-refused domain=\"{}\" reason=unknown", order.failureDomain());
-            answer.accept(new ControlAnswer.Invalid("no failure domain of that name"));
+            answer.accept(new ControlResponse.Invalid("no failure domain of that name"));
             return;
         }
         group.ask((member, ended) -> member.evacuate(order, ended), result -> {
--- a/library/src/main/java/org/copperspindle/gateway/FirstEventTimes.java
+++ b/library/src/main/java/org/copperspindle/gateway/FirstEventLatencies.java
@@ -9,7 +9,7 @@
  * How long the upstreams of each route take from an attempt to the first event, as this node sees it: the end of the
  * shortest way of a request. Prompts of one route take 100 ms, those of another 230 ms on the same engines.
  */
-final class FirstEventTimes {
+final class FirstEventLatencies {
 
     /** Part of the objective that is assumed before an answer was seen: engines read most prompts in less. */
     private static final double ASSUMED_PART = 0.1;
--- a/library/src/main/java/org/copperspindle/gateway/GatewayContext.java
+++ b/library/src/main/java/org/copperspindle/gateway/GatewayContext.java
@@ -4,12 +4,12 @@
 
 import org.copperspindle.backpressure.SendPermits;
 import org.copperspindle.batch.BatchService;
-import org.copperspindle.batch.FetchTime;
+import org.copperspindle.batch.FetchTimeEstimator;
 import org.copperspindle.coldstart.ColdAdmission;
 import org.copperspindle.direct.UpstreamPort;
 import org.copperspindle.discovery.DirectoryGossip;
 import org.copperspindle.measure.DecisionLog;
-import org.copperspindle.mesh.CutOffWatch;
+import org.copperspindle.mesh.IsolationDetector;
 import org.copperspindle.quarantine.RequestQuarantine;
 import org.copperspindle.time.TimerService;
 
@@ -51,14 +51,14 @@
         ColdAdmission coldAdmission,
         SendPermits permits,
         SharedRetryBudget retryBudget,
-        StageGate stageAdmission,
-        FetchTime fetchTime,
-        FirstEventTimes firstEventLatencies,
-        StreamTimes streamDurations,
-        CutOffWatch isolation,
+        StageAdmission stageAdmission,
+        FetchTimeEstimator fetchTime,
+        FirstEventLatencies firstEventLatencies,
+        StreamDurations streamDurations,
+        IsolationDetector isolation,
         OpenRequests openRequests,
         GatewayCounters counters,
         DecisionLog log,
         RandomGenerator random,
-        ReturnTimes retryAfterDelays,
+        RetryAfterDelays retryAfterDelays,
         RequestQuarantine quarantine) {}
--- a/library/src/main/java/org/copperspindle/gateway/GatewayDialects.java
+++ b/library/src/main/java/org/copperspindle/gateway/GatewayDialects.java
@@ -47,5 +47,5 @@
      * @param desk what they may ask for
      * @return answers their requests
      */
-    HttpRequestHandler controlEndpoint(ControlDesk desk);
+    HttpRequestHandler controlEndpoint(ControlRequestHandler desk);
 }
--- a/library/src/main/java/org/copperspindle/gateway/GatewayMessages.java
+++ b/library/src/main/java/org/copperspindle/gateway/GatewayMessages.java
@@ -1,16 +1,16 @@
 package org.copperspindle.gateway;
 
-import org.copperspindle.backpressure.LimitNewsMessage;
-import org.copperspindle.backpressure.PermitAnswerMessage;
-import org.copperspindle.backpressure.PermitAskMessage;
+import org.copperspindle.backpressure.LimitRecordsMessage;
+import org.copperspindle.backpressure.PermitRequestMessage;
+import org.copperspindle.backpressure.PermitResponseMessage;
+import org.copperspindle.batch.ExpectedPiecesMessage;
 import org.copperspindle.batch.FreeResultsMessage;
 import org.copperspindle.batch.PieceCancelMessage;
 import org.copperspindle.batch.PieceGroup;
 import org.copperspindle.batch.PieceResultsMessage;
 import org.copperspindle.batch.PoolLoadMessage;
-import org.copperspindle.batch.PoolPromiseMessage;
 import org.copperspindle.consensus.ConsensusLog;
-import org.copperspindle.discovery.UpstreamNewsMessage;
+import org.copperspindle.discovery.UpstreamRecordsMessage;
 import org.copperspindle.edition.EditionLeaseAskMessage;
 import org.copperspindle.edition.EditionLeaseMessage;
 import org.copperspindle.edition.EditionMessage;
@@ -38,17 +38,17 @@
                 .register(EvacuationsMessage.CODEC)
                 .register(EditionLeaseAskMessage.CODEC)
                 .register(EditionLeaseMessage.CODEC)
-                .register(UpstreamNewsMessage.CODEC)
+                .register(UpstreamRecordsMessage.CODEC)
                 .register(SuspicionMessage.CODEC)
-                .register(LimitNewsMessage.CODEC)
-                .register(PermitAskMessage.CODEC)
-                .register(PermitAnswerMessage.CODEC)
+                .register(LimitRecordsMessage.CODEC)
+                .register(PermitRequestMessage.CODEC)
+                .register(PermitResponseMessage.CODEC)
                 .register(PieceGroup.CODEC)
                 .register(PieceResultsMessage.CODEC)
                 .register(PieceCancelMessage.CODEC)
                 .register(FreeResultsMessage.CODEC)
                 .register(PoolLoadMessage.CODEC)
-                .register(PoolPromiseMessage.CODEC);
+                .register(ExpectedPiecesMessage.CODEC);
         ConsensusLog.codecs().forEach(registry::register);
         return registry;
     }
--- a/library/src/main/java/org/copperspindle/gateway/GatewayNode.java
+++ b/library/src/main/java/org/copperspindle/gateway/GatewayNode.java
@@ -22,19 +22,19 @@
 import org.apache.logging.log4j.Logger;
 import org.copperspindle.backpressure.LimitGossip;
 import org.copperspindle.backpressure.SendPermits;
+import org.copperspindle.backpressure.UpstreamBackoffs;
 import org.copperspindle.backpressure.UpstreamLimits;
-import org.copperspindle.backpressure.UpstreamRests;
 import org.copperspindle.batch.BatchService;
-import org.copperspindle.batch.FetchTime;
-import org.copperspindle.batch.PackerStatus;
+import org.copperspindle.batch.DispatcherStatus;
+import org.copperspindle.batch.FetchTimeEstimator;
 import org.copperspindle.coldstart.ColdAdmission;
 import org.copperspindle.coldstart.SenderSetAdmission;
 import org.copperspindle.direct.DirectClient;
 import org.copperspindle.direct.UpstreamPort;
 import org.copperspindle.discovery.DirectoryGossip;
 import org.copperspindle.discovery.UpstreamDirectory;
-import org.copperspindle.discovery.UpstreamNews;
 import org.copperspindle.discovery.UpstreamPhase;
+import org.copperspindle.discovery.UpstreamRecord;
 import org.copperspindle.edition.EditionExchange;
 import org.copperspindle.edition.EditionHolder;
 import org.copperspindle.edition.MeshRoster;
@@ -43,7 +43,7 @@
 import org.copperspindle.http.HttpListener;
 import org.copperspindle.http.HttpRequestHandler;
 import org.copperspindle.measure.DecisionLog;
-import org.copperspindle.mesh.CutOffWatch;
+import org.copperspindle.mesh.IsolationDetector;
 import org.copperspindle.mesh.MeshListener;
 import org.copperspindle.mesh.MeshNode;
 import org.copperspindle.mesh.MeshRelay;
@@ -104,7 +104,7 @@
     private final MessageRegistry registry;
     private final NodeMesh mesh;
     private final UpstreamDirectory directory = new UpstreamDirectory();
-    private final CutOffWatch cutOff;
+    private final IsolationDetector cutOff;
     private final DirectoryGossip gossip;
     private final EditionExchange exchange;
     private final EditionHolder holder;
@@ -119,7 +119,7 @@
     private final HttpListener control;
     private final Optional<HttpListener> metrics;
     private final UpstreamLimits upstreamLimits;
-    private final UpstreamRests upstreamRests;
+    private final UpstreamBackoffs upstreamRests;
     private final SendPermits permits;
     private final RequestQuarantine quarantine;
     private final long startedAt = System.nanoTime();
@@ -142,7 +142,7 @@
                 settings.dataFolder().isPresent(),
                 settings.seeds());
         this.mesh = new NodeMesh(meshSettings, transport, timers, this::hello);
-        this.cutOff = new CutOffWatch(mesh::count, timers);
+        this.cutOff = new IsolationDetector(mesh::count, timers);
         this.gossip = new DirectoryGossip(mesh, timers, directory);
         this.exchange = new EditionExchange(mesh, timers, loop);
         Duration lease = Duration.ofNanos((long) (settings.revocation().toNanos() * LEASE_SHARE));
@@ -154,9 +154,9 @@
                 loop, timers, new SharedIdleConnections(directory, holder::heldTable, () -> 1 + mesh.count()));
         this.quarantine = new RequestQuarantine(mesh, timers, directory, client, log);
         this.upstreamLimits = new UpstreamLimits(directory, log);
-        this.upstreamRests = new UpstreamRests(directory, log);
-        UpstreamPort port =
-                new ObservedPort(client, dialects.upstreamDialect(), upstreamLimits, upstreamRests, gossip, timers);
+        this.upstreamRests = new UpstreamBackoffs(directory, log);
+        UpstreamPort port = new SignalReadingPort(
+                client, dialects.upstreamDialect(), upstreamLimits, upstreamRests, gossip, timers);
         MeshRelay relay = new MeshRelay(mesh, registry);
         this.batches = new BatchService(
                 relay,
@@ -168,16 +168,16 @@
                 log);
         relay.listener(batches);
         mesh.subscribe(relay);
-        LimitKeepers keepers = new LimitKeepers(mesh, this::serves, cutOff, directory, batches, holder::heldTable);
+        LimitOwners keepers = new LimitOwners(mesh, this::serves, cutOff, directory, batches, holder::heldTable);
         this.permits = new SendPermits(upstreamLimits, keepers, new MeshLink(mesh), timers);
         batches.limitCallsWith(new RestrainedCalls(permits, upstreamRests, timers));
         this.budget = new SharedRetryBudget(
                 settings.retries().ratio(),
                 settings.retries().slack(),
                 settings.retries().window());
-        FirstEventTimes firstEvents = new FirstEventTimes();
+        FirstEventLatencies firstEvents = new FirstEventLatencies();
         ColdAdmission cold = new SenderSetAdmission(mesh.self(), mesh::serving, cutOff::isIsolated);
-        StageGate gate = new StageGate(batches::load, firstEvents);
+        StageAdmission gate = new StageAdmission(batches::load, firstEvents);
         GatewayContext context = new GatewayContext(
                 timers,
                 dialects.callerDialect(),
@@ -198,31 +198,31 @@
                 permits,
                 budget,
                 gate,
-                new FetchTime(),
+                new FetchTimeEstimator(),
                 firstEvents,
-                new StreamTimes(),
+                new StreamDurations(),
                 cutOff,
                 open,
                 counters,
                 log,
                 ThreadLocalRandom.current(),
-                new ReturnTimes(ThreadLocalRandom.current()),
+                new RetryAfterDelays(ThreadLocalRandom.current()),
                 quarantine);
         subscribe();
         settings.dataFolder().ifPresent(folder -> keepMember(folder.resolve(GroupMember.NAME)));
         this.service = new GatewayService(
-                context, holder::inForce, new FirstLease(holder, mesh, () -> stopping, this::uptime));
+                context, holder::inForce, new StartupLeaseStatus(holder, mesh, () -> stopping, this::uptime));
         IgnoredAnnouncements ignored = new IgnoredAnnouncements(timers, log);
         GroupQuestions questions = new GroupQuestions(exchange, loop);
         KnownDomains domains = new KnownDomains(settings, mesh, directory);
-        ControlDesk desk = new ControlDesk(
+        ControlRequestHandler desk = new ControlRequestHandler(
                 gossip,
                 questions,
                 dialects.tableReader(),
                 holder::heldTable,
                 ignored,
                 quarantine,
-                new EvacuationDesk(questions, holder::evacuations, domains));
+                new EvacuationRequestHandler(questions, holder::evacuations, domains));
         this.callers = new HttpListener(group, settings.callers(), this::callerLimits, service);
         this.readiness = new HttpListener(group, settings.readiness(), () -> HttpLimits.DEFAULT, this::answerReadiness);
         this.control = new HttpListener(
@@ -346,7 +346,7 @@
         holder.subscribeEvacuations(news -> directory.evacuate(Set.copyOf(news.failureDomains()), timers.nanoTime()));
     }
 
-    private void upstreamChanged(UpstreamNews news) {
+    private void upstreamChanged(UpstreamRecord news) {
         if (news.phase() == UpstreamPhase.GONE) {
             tracker.forget(news.id());
         } else {
@@ -449,7 +449,7 @@
     }
 
     /** This node's part in packing calls. */
-    private final class Packer implements PackerStatus {
+    private final class Packer implements DispatcherStatus {
         @Override
         public boolean isServing() {
             return serves();
--- a/library/src/main/java/org/copperspindle/gateway/GatewayService.java
+++ b/library/src/main/java/org/copperspindle/gateway/GatewayService.java
@@ -27,9 +27,9 @@
 
     private final GatewayContext context;
     private final Supplier<Optional<RouteTable>> tables;
-    private final LeaseOutlook leases;
+    private final LeaseStatus leases;
     private final LeaseWait leaseWait;
-    private final WaitEstimate waits = new WaitEstimate();
+    private final PriorWaitEstimator waits = new PriorWaitEstimator();
     private boolean refusesAll;
 
     /**
@@ -39,7 +39,7 @@
      * @param tables  the table in force, empty without a lease
      * @param leases  what callers may expect without one
      */
-    GatewayService(GatewayContext context, Supplier<Optional<RouteTable>> tables, LeaseOutlook leases) {
+    GatewayService(GatewayContext context, Supplier<Optional<RouteTable>> tables, LeaseStatus leases) {
         this.context = context;
         this.tables = tables;
         this.leases = leases;
--- a/library/src/main/java/org/copperspindle/gateway/GroupQuestions.java
+++ b/library/src/main/java/org/copperspindle/gateway/GroupQuestions.java
@@ -29,7 +29,7 @@
      * @param question what the member is asked
      * @param answer   told how it ended
      */
-    void ask(Question question, Consumer<ControlAnswer> answer) {
+    void ask(Question question, Consumer<ControlResponse> answer) {
         Optional<EditionMember> member = editions.member();
         if (member.isPresent() && editions.status().leads()) {
             question.put(member.get(), ended -> network.execute(() -> answer.accept(translate(ended))));
@@ -38,24 +38,24 @@
         }
     }
 
-    private ControlAnswer translate(EditionResult result) {
+    private ControlResponse translate(EditionResult result) {
         if (result instanceof EditionResult.Recorded recorded) {
-            return new ControlAnswer.Recorded(
+            return new ControlResponse.Recorded(
                     recorded.held().version(), recorded.held().newestVersion().map(EditionMessage::text));
         }
         if (result instanceof EditionResult.Refused refused) {
-            return new ControlAnswer.Invalid(refused.reason());
+            return new ControlResponse.Invalid(refused.reason());
         }
         if (result instanceof EditionResult.NotLeading) {
             return elsewhere();
         }
-        return new ControlAnswer.Unavailable("the leader changed meanwhile; the outcome is not known");
+        return new ControlResponse.Unavailable("the leader changed meanwhile; the outcome is not known");
     }
 
-    private ControlAnswer elsewhere() {
+    private ControlResponse elsewhere() {
         return editions.leaderControl()
-                .<ControlAnswer>map(ControlAnswer.Elsewhere::new)
-                .orElseGet(() -> new ControlAnswer.Unavailable("no leader is known"));
+                .<ControlResponse>map(ControlResponse.Elsewhere::new)
+                .orElseGet(() -> new ControlResponse.Unavailable("no leader is known"));
     }
 
     /** A question to the member that leads. */
--- a/library/src/main/java/org/copperspindle/gateway/LeaseOutlook.java
+++ b/library/src/main/java/org/copperspindle/gateway/LeaseStatus.java
@@ -5,7 +5,7 @@
 /**
  * What callers may expect of a node that has no lease.
  */
-interface LeaseOutlook {
+interface LeaseStatus {
 
     /** Says whether the node has just started and its first lease is under way: callers had better wait here than come back. */
     boolean isUnderWay();
--- a/library/src/main/java/org/copperspindle/gateway/LeaseWait.java
+++ b/library/src/main/java/org/copperspindle/gateway/LeaseWait.java
@@ -19,9 +19,9 @@
 
     private static final double NANOS_PER_MILLI = 1e6;
 
-    private final LeaseOutlook leases;
+    private final LeaseStatus leases;
 
-    LeaseWait(LeaseOutlook leases) {
+    LeaseWait(LeaseStatus leases) {
         this.leases = leases;
     }
 
--- a/library/src/main/java/org/copperspindle/gateway/LimitKeepers.java
+++ b/library/src/main/java/org/copperspindle/gateway/LimitOwners.java
@@ -5,11 +5,11 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
 
-import org.copperspindle.backpressure.KeeperChoice;
+import org.copperspindle.backpressure.LimitOwnerSelector;
 import org.copperspindle.batch.BatchService;
 import org.copperspindle.discovery.UpstreamDirectory;
-import org.copperspindle.discovery.UpstreamNews;
-import org.copperspindle.mesh.CutOffWatch;
+import org.copperspindle.discovery.UpstreamRecord;
+import org.copperspindle.mesh.IsolationDetector;
 import org.copperspindle.mesh.NodeMesh;
 import org.copperspindle.route.RouteTable;
 import org.copperspindle.route.UpstreamPool;
@@ -19,11 +19,11 @@
  * Chooses who keeps the limit of an upstream: for stage pools the node that packs their calls, which sends nearly all that they get,
  * for others one of the serving nodes by rendezvous.
  */
-final class LimitKeepers implements KeeperChoice {
+final class LimitOwners implements LimitOwnerSelector {
 
     private final NodeMesh mesh;
     private final BooleanSupplier serves;
-    private final CutOffWatch cutOff;
+    private final IsolationDetector cutOff;
     private final UpstreamDirectory directory;
     private final BatchService batches;
     private final Supplier<Optional<RouteTable>> table;
@@ -38,10 +38,10 @@
      * @param batches   knows who packs the calls of a pool
      * @param table     the route table held
      */
-    LimitKeepers(
+    LimitOwners(
             NodeMesh mesh,
             BooleanSupplier serves,
-            CutOffWatch cutOff,
+            IsolationDetector cutOff,
             UpstreamDirectory directory,
             BatchService batches,
             Supplier<Optional<RouteTable>> table) {
@@ -59,7 +59,7 @@
             // The others go on with a keeper of their own.
             return Optional.empty();
         }
-        return directory.find(upstream).map(UpstreamNews::pool).flatMap(pool -> owner(upstream, pool));
+        return directory.find(upstream).map(UpstreamRecord::pool).flatMap(pool -> owner(upstream, pool));
     }
 
     private Optional<String> owner(String upstream, String pool) {
--- a/library/src/main/java/org/copperspindle/gateway/NodeState.java
+++ b/library/src/main/java/org/copperspindle/gateway/NodeState.java
@@ -3,8 +3,8 @@
 import java.util.function.BooleanSupplier;
 
 import org.copperspindle.backpressure.SendPermits;
+import org.copperspindle.backpressure.UpstreamBackoffs;
 import org.copperspindle.backpressure.UpstreamLimits;
-import org.copperspindle.backpressure.UpstreamRests;
 import org.copperspindle.batch.BatchService;
 import org.copperspindle.direct.DirectClient;
 import org.copperspindle.discovery.UpstreamDirectory;
@@ -42,9 +42,9 @@
         UpstreamDirectory directory,
         UpstreamLimits limits,
         SendPermits permits,
-        UpstreamRests rests,
+        UpstreamBackoffs rests,
         BatchService batches,
-        StageGate gate,
+        StageAdmission gate,
         SharedRetryBudget budget,
         GatewayCounters counters,
         RequestQuarantine quarantine,
--- a/library/src/main/java/org/copperspindle/gateway/WaitEstimate.java
+++ b/library/src/main/java/org/copperspindle/gateway/PriorWaitEstimator.java
@@ -8,7 +8,7 @@
  * Estimates how long callers have waited with earlier attempts. A caller names the time that it has left, and nothing else
  * tells a first attempt from a later one.
  */
-final class WaitEstimate {
+final class PriorWaitEstimator {
 
     /**
      * A caller with less than this part of the longest time that any caller of its route has named was here before: the
--- a/library/src/main/java/org/copperspindle/gateway/RequestLines.java
+++ b/library/src/main/java/org/copperspindle/gateway/RequestLines.java
@@ -6,7 +6,7 @@
 
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
-import org.copperspindle.discovery.UpstreamNews;
+import org.copperspindle.discovery.UpstreamRecord;
 import org.copperspindle.measure.DecisionLog;
 
 /**
@@ -67,9 +67,9 @@
      * @param held      true if it was held before; that it is held on leaves no line
      * @param now       monotonic time in nanoseconds
      */
-    void gate(GateJudgement judgement, boolean held, long now) {
-        boolean begins = judgement.verdict() == GateVerdict.BEGIN;
-        boolean stillHeld = held && judgement.verdict() == GateVerdict.HOLD;
+    void gate(StageAdmissionDecision judgement, boolean held, long now) {
+        boolean begins = judgement.verdict() == StageAdmissionVerdict.BEGIN;
+        boolean stillHeld = held && judgement.verdict() == StageAdmissionVerdict.HOLD;
         if (stillHeld || !takes(!begins || held, now)) {
             return;
         }
@@ -92,7 +92,7 @@
      * @param resumeAfter id of the event after which it goes on
      * @param now         monotonic time in nanoseconds
      */
-    void attemptSent(int number, UpstreamNews upstream, Optional<String> resumeAfter, long now) {
+    void attemptSent(int number, UpstreamRecord upstream, Optional<String> resumeAfter, long now) {
         if (!log.takesServed(now)) {
             return;
         }
--- a/library/src/main/java/org/copperspindle/gateway/RequestRun.java
+++ b/library/src/main/java/org/copperspindle/gateway/RequestRun.java
@@ -10,10 +10,10 @@
 import org.copperspindle.batch.MissReason;
 import org.copperspindle.direct.ConnectionUse;
 import org.copperspindle.direct.DirectHead;
-import org.copperspindle.discovery.UpstreamNews;
+import org.copperspindle.discovery.UpstreamRecord;
 import org.copperspindle.http.HttpExchange;
+import org.copperspindle.quarantine.TrackedRequest;
 import org.copperspindle.quarantine.UpstreamRun;
-import org.copperspindle.quarantine.WatchedRequest;
 import org.copperspindle.route.ClientAccount;
 import org.copperspindle.route.Route;
 import org.copperspindle.time.TimerSubscription;
@@ -47,7 +47,7 @@
     private final long endAt;
     private final AnswerRelay relay;
     private final RequestLines lines;
-    private final WatchedRequest watched;
+    private final TrackedRequest watched;
     private final Set<String> tried = new HashSet<>();
     private final UpstreamAttempt.Owner owner = new AttemptOwner();
     private Optional<StageRun> stages = Optional.empty();
@@ -169,16 +169,16 @@
             refuse(Refusal.inNeed(context.retryAfterDelays().after(tooLate.getAsLong())));
             return;
         }
-        GateJudgement judgement = context.stageAdmission().judge(admitted, held, now);
-        GateVerdict verdict = judgement.verdict();
+        StageAdmissionDecision judgement = context.stageAdmission().judge(admitted, held, now);
+        StageAdmissionVerdict verdict = judgement.verdict();
         lines.gate(judgement, held, now);
-        if (verdict == GateVerdict.HOLD) {
+        if (verdict == StageAdmissionVerdict.HOLD) {
             hold(true);
             context.timers().schedule(HELD_LOOK_NANOS, this::passGate);
             return;
         }
         hold(false);
-        if (verdict == GateVerdict.BEGIN) {
+        if (verdict == StageAdmissionVerdict.BEGIN) {
             begunAt = now;
             reckonedNanos = judgement.reckonedNanos();
             runStages();
@@ -240,10 +240,10 @@
      * that costs no time: what crosses failure domains is what stage work costs most.
      */
     private Optional<String> meantDomain() {
-        return choose(StageInputs.NONE, context.timers().nanoTime()).map(UpstreamNews::failureDomain);
+        return choose(StageInputs.NONE, context.timers().nanoTime()).map(UpstreamRecord::failureDomain);
     }
 
-    private Optional<UpstreamNews> choose(StageInputs inputs, long now) {
+    private Optional<UpstreamRecord> choose(StageInputs inputs, long now) {
         return admitted.table().findPool(pool).flatMap(p -> context.chooser().choose(p, request, inputs, tried, now));
     }
 
@@ -266,7 +266,7 @@
         turn.get().seek();
     }
 
-    private void send(UpstreamNews upstream, long now) {
+    private void send(UpstreamRecord upstream, long now) {
         tried.add(upstream.id());
         context.coldAdmission().recordSend(upstream.id(), now);
         sent++;
@@ -274,7 +274,7 @@
         Optional<String> resumeAfter = relay.lastId().isPresent()
                 ? Optional.of(Long.toString(relay.lastId().getAsLong()))
                 : request.resumeAfter();
-        AttemptOrder order = new AttemptOrder(
+        AttemptSpec order = new AttemptSpec(
                 request,
                 upstream,
                 Math.max(1, (endAt - now) / NANOS_PER_MILLI),
@@ -411,7 +411,7 @@
     /** What follows from the search for an upstream. */
     private final class TurnOwner implements AttemptTurn.Listener {
         @Override
-        public void onTurn(UpstreamNews upstream) {
+        public void onTurn(UpstreamRecord upstream) {
             if (context.quarantine().isQuarantined(watched)) {
                 // Upstreams ended under it while it waited.
                 holdOff();
--- a/library/src/main/java/org/copperspindle/gateway/RestrainedCalls.java
+++ b/library/src/main/java/org/copperspindle/gateway/RestrainedCalls.java
@@ -1,7 +1,7 @@
 package org.copperspindle.gateway;
 
 import org.copperspindle.backpressure.SendPermits;
-import org.copperspindle.backpressure.UpstreamRests;
+import org.copperspindle.backpressure.UpstreamBackoffs;
 import org.copperspindle.batch.CallAdmission;
 import org.copperspindle.time.TimerService;
 
@@ -12,10 +12,10 @@
 final class RestrainedCalls implements CallAdmission {
 
     private final SendPermits permits;
-    private final UpstreamRests rests;
+    private final UpstreamBackoffs rests;
     private final TimerService timers;
 
-    RestrainedCalls(SendPermits permits, UpstreamRests rests, TimerService timers) {
+    RestrainedCalls(SendPermits permits, UpstreamBackoffs rests, TimerService timers) {
         this.permits = permits;
         this.rests = rests;
         this.timers = timers;
--- a/library/src/main/java/org/copperspindle/gateway/ReturnTimes.java
+++ b/library/src/main/java/org/copperspindle/gateway/RetryAfterDelays.java
@@ -6,7 +6,7 @@
 /**
  * When refused callers should come back, spread so that they don't come together.
  */
-final class ReturnTimes {
+final class RetryAfterDelays {
 
     /** Shortest time after which a caller should come back where another upstream or node may serve it, and the spread. */
     private static final long SOON_MILLIS = 250;
@@ -21,7 +21,7 @@
 
     private final RandomGenerator random;
 
-    ReturnTimes(RandomGenerator random) {
+    RetryAfterDelays(RandomGenerator random) {
         this.random = random;
     }
 
--- a/library/src/main/java/org/copperspindle/gateway/SharedIdleConnections.java
+++ b/library/src/main/java/org/copperspindle/gateway/SharedIdleConnections.java
@@ -6,7 +6,7 @@
 
 import org.copperspindle.direct.IdleConnections;
 import org.copperspindle.discovery.UpstreamDirectory;
-import org.copperspindle.discovery.UpstreamNews;
+import org.copperspindle.discovery.UpstreamRecord;
 import org.copperspindle.route.RouteTable;
 import org.copperspindle.route.UpstreamPool;
 
@@ -42,11 +42,11 @@
 
     @Override
     public int most(String address) {
-        Optional<UpstreamNews> upstream = directory.findByAddress(address);
+        Optional<UpstreamRecord> upstream = directory.findByAddress(address);
         if (upstream.filter(u -> directory.isEvacuated(u.failureDomain())).isPresent()) {
             return 0;
         }
-        return upstream.map(UpstreamNews::pool)
+        return upstream.map(UpstreamRecord::pool)
                 .flatMap(pool -> table.get().flatMap(t -> t.findPool(pool)))
                 .map(this::share)
                 .orElse(MOST);
--- a/library/src/main/java/org/copperspindle/gateway/ObservedPort.java
+++ b/library/src/main/java/org/copperspindle/gateway/SignalReadingPort.java
@@ -1,7 +1,7 @@
 package org.copperspindle.gateway;
 
+import org.copperspindle.backpressure.UpstreamBackoffs;
 import org.copperspindle.backpressure.UpstreamLimits;
-import org.copperspindle.backpressure.UpstreamRests;
 import org.copperspindle.direct.DirectCall;
 import org.copperspindle.direct.DirectFailure;
 import org.copperspindle.direct.DirectHead;
@@ -14,20 +14,20 @@
  * Sends calls, and reads in the head of each answer what its upstream says of itself. All calls of a node go through it, so
  * that no kind of call and no kind of answer is left out.
  */
-final class ObservedPort implements UpstreamPort {
+final class SignalReadingPort implements UpstreamPort {
 
     private final UpstreamPort port;
     private final UpstreamDialect dialect;
     private final UpstreamLimits limits;
-    private final UpstreamRests rests;
+    private final UpstreamBackoffs rests;
     private final DirectoryGossip gossip;
     private final TimerService timers;
 
-    ObservedPort(
+    SignalReadingPort(
             UpstreamPort port,
             UpstreamDialect dialect,
             UpstreamLimits limits,
-            UpstreamRests rests,
+            UpstreamBackoffs rests,
             DirectoryGossip gossip,
             TimerService timers) {
         this.port = port;
--- a/library/src/main/java/org/copperspindle/gateway/StageGate.java
+++ b/library/src/main/java/org/copperspindle/gateway/StageAdmission.java
@@ -20,7 +20,7 @@
  *
  * <p>Where kinds of requests share a pool, the less urgent one leaves room for the next request of the more urgent one.
  */
-final class StageGate {
+final class StageAdmission {
 
     /** Pools whose waits add up to less than this part of a full call have room for requests that are late already. */
     private static final double IDLE_CALLS = 0.33;
@@ -70,7 +70,7 @@
      * @param loads       load of a pool by its name
      * @param firstEvents how long upstreams take after the stages
      */
-    StageGate(Function<String, PoolLoad> loads, FirstEventTimes firstEvents) {
+    StageAdmission(Function<String, PoolLoad> loads, FirstEventLatencies firstEvents) {
         this.forecaster = new StageForecaster(loads, firstEvents);
     }
 
@@ -79,7 +79,7 @@
      *
      * @param wasHeld true if it was held before and is counted as such
      */
-    GateJudgement judge(AdmittedRequest request, boolean wasHeld, long now) {
+    StageAdmissionDecision judge(AdmittedRequest request, boolean wasHeld, long now) {
         if (!wasHeld) {
             kinds.asked(request);
         }
@@ -92,15 +92,15 @@
                 < IDLE_CALLS * fullCall + IDLE_GROWTH * (now - request.times().beganAt());
         boolean inTime = now - holdUntil(request, forecast.shortest()) < 0;
         Optional<String> inNeed = kindInNeed(request, now);
-        GateVerdict verdict = GateVerdict.REFUSE;
+        StageAdmissionVerdict verdict = StageAdmissionVerdict.REFUSE;
         boolean ends = now + forecast.reckoned() - request.times().patienceAt() < 0;
         if (finish <= left && inNeed.isEmpty()
                 || idle && ends && mayRelease(wasHeld, now, (long) (RELEASE_CALLS * fullCall))) {
-            verdict = GateVerdict.BEGIN;
+            verdict = StageAdmissionVerdict.BEGIN;
         } else if (inTime && (wasHeld || held < MOST_HELD)) {
-            verdict = GateVerdict.HOLD;
+            verdict = StageAdmissionVerdict.HOLD;
         }
-        return new GateJudgement(
+        return new StageAdmissionDecision(
                 verdict, finish / NANOS_PER_MILLI, left / NANOS_PER_MILLI, held, forecast.reckonedStages(), inNeed);
     }
 
@@ -108,7 +108,7 @@
      * Learns from a request whose stages have run.
      *
      * @param route         its route
-     * @param reckonedNanos how long they were reckoned to take, {@link GateJudgement#reckonedNanos}
+     * @param reckonedNanos how long they were reckoned to take, {@link StageAdmissionDecision#reckonedNanos}
      * @param tookNanos     how long they took
      * @param now           monotonic time in nanoseconds
      */
--- a/library/src/main/java/org/copperspindle/gateway/GateJudgement.java
+++ b/library/src/main/java/org/copperspindle/gateway/StageAdmissionDecision.java
@@ -12,8 +12,8 @@
  * @param reckonedNanos how long its stages would take by the loads of their pools alone
  * @param inNeed        route of a more urgent kind that needs the room; empty if none does
  */
-record GateJudgement(
-        GateVerdict verdict,
+record StageAdmissionDecision(
+        StageAdmissionVerdict verdict,
         long finishMillis,
         long leftMillis,
         int held,
--- a/library/src/main/java/org/copperspindle/gateway/GateVerdict.java
+++ b/library/src/main/java/org/copperspindle/gateway/StageAdmissionVerdict.java
@@ -3,7 +3,7 @@
 /**
  * What becomes of a request whose route has stages.
  */
-enum GateVerdict {
+enum StageAdmissionVerdict {
     /** Its stages begin. */
     BEGIN,
     /** It waits without holding any results, and is judged again. */
--- a/library/src/main/java/org/copperspindle/gateway/StageForecaster.java
+++ b/library/src/main/java/org/copperspindle/gateway/StageForecaster.java
@@ -19,7 +19,7 @@
     private static final double NANOS_PER_SECOND = 1e9;
 
     private final Function<String, PoolLoad> loads;
-    private final FirstEventTimes firstEvents;
+    private final FirstEventLatencies firstEvents;
 
     /**
      * Creates a forecaster.
@@ -27,7 +27,7 @@
      * @param loads       load of a pool by its name
      * @param firstEvents how long upstreams take after the stages
      */
-    StageForecaster(Function<String, PoolLoad> loads, FirstEventTimes firstEvents) {
+    StageForecaster(Function<String, PoolLoad> loads, FirstEventLatencies firstEvents) {
         this.loads = loads;
         this.firstEvents = firstEvents;
     }
--- a/library/src/main/java/org/copperspindle/gateway/StageInputs.java
+++ b/library/src/main/java/org/copperspindle/gateway/StageInputs.java
@@ -7,7 +7,7 @@
 
 import org.copperspindle.batch.ResultHandle;
 import org.copperspindle.discovery.UpstreamDirectory;
-import org.copperspindle.discovery.UpstreamNews;
+import org.copperspindle.discovery.UpstreamRecord;
 
 /**
  * The stage results that a request's upstream fetches, with their sizes.
@@ -53,7 +53,7 @@
         Map<String, Long> domains = new HashMap<>();
         bytes.forEach((handle, size) -> ResultHandle.producerAddress(handle)
                 .flatMap(directory::findByAddress)
-                .map(UpstreamNews::failureDomain)
+                .map(UpstreamRecord::failureDomain)
                 .ifPresent(domain -> domains.merge(domain, size, Long::sum)));
         return domains;
     }
--- a/library/src/main/java/org/copperspindle/gateway/StageRun.java
+++ b/library/src/main/java/org/copperspindle/gateway/StageRun.java
@@ -10,7 +10,7 @@
 import java.util.stream.IntStream;
 
 import org.copperspindle.batch.BatchService;
-import org.copperspindle.batch.FetchTime;
+import org.copperspindle.batch.FetchTimeEstimator;
 import org.copperspindle.batch.MissReason;
 import org.copperspindle.batch.PieceGroup;
 import org.copperspindle.batch.PieceOutcome;
@@ -104,7 +104,7 @@
      * Returns after which time from the sending of an attempt its upstream has fetched the results, over the slowest link of
      * the pools that made any.
      */
-    long fetchNanos(FetchTime fetches) {
+    long fetchNanos(FetchTimeEstimator fetches) {
         long bytes = inputs().total();
         return IntStream.range(0, plan.stages())
                 .filter(stage -> plan.pieces(stage) > 0)
--- a/library/src/main/java/org/copperspindle/gateway/FirstLease.java
+++ b/library/src/main/java/org/copperspindle/gateway/StartupLeaseStatus.java
@@ -10,7 +10,7 @@
 /**
  * Where a node stands with its lease, in the time after its start above all.
  */
-final class FirstLease implements LeaseOutlook {
+final class StartupLeaseStatus implements LeaseStatus {
 
     /** A lease is back within a question to the leader, or another node has one. */
     private static final Duration LEASE_RETURN = Duration.ofMillis(300);
@@ -31,7 +31,7 @@
      * @param stopping says whether this node is about to end
      * @param uptime   time since its start
      */
-    FirstLease(EditionHolder holder, NodeMesh mesh, BooleanSupplier stopping, Supplier<Duration> uptime) {
+    StartupLeaseStatus(EditionHolder holder, NodeMesh mesh, BooleanSupplier stopping, Supplier<Duration> uptime) {
         this.holder = holder;
         this.mesh = mesh;
         this.stopping = stopping;
--- a/library/src/main/java/org/copperspindle/gateway/StreamTimes.java
+++ b/library/src/main/java/org/copperspindle/gateway/StreamDurations.java
@@ -9,7 +9,7 @@
  * How long the streams of each route take from their first event to their end, as this node sees it. A stream that would not end
  * before its caller leaves is of no use to it, however soon it begins.
  */
-final class StreamTimes {
+final class StreamDurations {
 
     /** Weight of the newest stream. */
     private static final double WEIGHT = 0.1;
--- a/library/src/main/java/org/copperspindle/gateway/UpstreamAttempt.java
+++ b/library/src/main/java/org/copperspindle/gateway/UpstreamAttempt.java
@@ -9,7 +9,7 @@
 import org.copperspindle.direct.DirectHead;
 import org.copperspindle.direct.DirectListener;
 import org.copperspindle.direct.UpstreamPort.CallHandle;
-import org.copperspindle.discovery.UpstreamNews;
+import org.copperspindle.discovery.UpstreamRecord;
 import org.copperspindle.quarantine.UpstreamRun;
 import org.copperspindle.route.RouteKind;
 
@@ -28,7 +28,7 @@
     private final GatewayContext context;
     private final AdmittedRequest admitted;
     private final UpstreamRun run;
-    private final UpstreamNews upstream;
+    private final UpstreamRecord upstream;
     private final int number;
     private final AnswerRelay relay;
     private final Owner owner;
@@ -57,7 +57,7 @@
     }
 
     /** Sends the attempt; its owner may hear of it before this returns. */
-    void send(AttemptOrder order) {
+    void send(AttemptSpec order) {
         context.tracker().started(upstream.id());
         handle = context.port().call(context.upstreams().write(order), this);
     }
--- a/library/src/main/java/org/copperspindle/gateway/UpstreamChooser.java
+++ b/library/src/main/java/org/copperspindle/gateway/UpstreamChooser.java
@@ -10,10 +10,10 @@
 import java.util.stream.Collectors;
 
 import org.copperspindle.backpressure.SendPermits;
-import org.copperspindle.backpressure.UpstreamRests;
+import org.copperspindle.backpressure.UpstreamBackoffs;
 import org.copperspindle.coldstart.ColdAdmission;
 import org.copperspindle.discovery.UpstreamDirectory;
-import org.copperspindle.discovery.UpstreamNews;
+import org.copperspindle.discovery.UpstreamRecord;
 import org.copperspindle.route.UpstreamPool;
 import org.copperspindle.routing.RendezvousScore;
 
@@ -43,7 +43,7 @@
     private final UpstreamTracker tracker;
     private final ColdAdmission cold;
     private final SendPermits permits;
-    private final UpstreamRests rests;
+    private final UpstreamBackoffs rests;
     private final RandomGenerator random;
     private final String failureDomain;
 
@@ -52,7 +52,7 @@
             UpstreamTracker tracker,
             ColdAdmission cold,
             SendPermits permits,
-            UpstreamRests rests,
+            UpstreamBackoffs rests,
             RandomGenerator random,
             String failureDomain) {
         this.directory = directory;
@@ -74,13 +74,13 @@
      * @param now     monotonic time in nanoseconds
      * @return the upstream; empty if the pool has none that can take it
      */
-    Optional<UpstreamNews> choose(
+    Optional<UpstreamRecord> choose(
             UpstreamPool pool, GatewayRequest request, StageInputs inputs, Set<String> tried, long now) {
-        List<UpstreamNews> candidates = candidates(pool, tried, now);
+        List<UpstreamRecord> candidates = candidates(pool, tried, now);
         if (candidates.isEmpty()) {
             return Optional.empty();
         }
-        Predicate<UpstreamNews> bears =
+        Predicate<UpstreamRecord> bears =
                 upstream -> permits.deniedNanos(upstream.id()) == 0 && bears(pool, upstream, now);
         Optional<String> shared = request.sharedPrompt();
         if (pool.engineSlots().isPresent() && shared.isPresent()) {
@@ -114,7 +114,7 @@
      * @param now      monotonic time in nanoseconds
      * @return false if it has left, is suspected, or is cold and has had enough
      */
-    boolean isFit(UpstreamPool pool, UpstreamNews upstream, Set<String> tried, long now) {
+    boolean isFit(UpstreamPool pool, UpstreamRecord upstream, Set<String> tried, long now) {
         return bears(pool, upstream, now)
                 && candidates(pool, tried, now).stream().anyMatch(u -> u.id().equals(upstream.id()));
     }
@@ -127,7 +127,7 @@
      * @param now   monotonic time in nanoseconds
      * @return the upstream; empty if none that could take the request has a limit
      */
-    Optional<UpstreamNews> soonestLimited(UpstreamPool pool, Set<String> tried, long now) {
+    Optional<UpstreamRecord> soonestLimited(UpstreamPool pool, Set<String> tried, long now) {
         return limitedCandidates(pool, tried, now).stream()
                 .filter(u -> bears(pool, u, now))
                 .min(Comparator.comparingLong(u -> permits.deniedNanos(u.id())));
@@ -176,34 +176,34 @@
      */
     Set<String> limited(UpstreamPool pool, Set<String> tried, long now) {
         return limitedCandidates(pool, tried, now).stream()
-                .map(UpstreamNews::id)
+                .map(UpstreamRecord::id)
                 .collect(Collectors.toSet());
     }
 
-    private List<UpstreamNews> limitedCandidates(UpstreamPool pool, Set<String> tried, long now) {
+    private List<UpstreamRecord> limitedCandidates(UpstreamPool pool, Set<String> tried, long now) {
         return candidates(pool, tried, now).stream()
                 .filter(u -> permits.isNeeded(u.id()))
                 .toList();
     }
 
-    private List<UpstreamNews> candidates(UpstreamPool pool, Set<String> tried, long now) {
-        List<UpstreamNews> usable = sound(pool, tried, now).stream()
+    private List<UpstreamRecord> candidates(UpstreamPool pool, Set<String> tried, long now) {
+        List<UpstreamRecord> usable = sound(pool, tried, now).stream()
                 .filter(u -> rests.mayTake(u.id(), tracker.inFlight(u.id()), now))
                 .toList();
-        List<UpstreamNews> heard = usable.stream()
+        List<UpstreamRecord> heard = usable.stream()
                 .filter(u -> directory.silenceNanos(u.id(), now) < SILENT_NANOS)
                 .toList();
         // All silent at once means that this node is cut off from announcements, not that all have died.
         return heard.isEmpty() ? usable : heard;
     }
 
-    private List<UpstreamNews> sound(UpstreamPool pool, Set<String> tried, long now) {
+    private List<UpstreamRecord> sound(UpstreamPool pool, Set<String> tried, long now) {
         return directory.ready(pool.name()).stream()
                 .filter(u -> !tried.contains(u.id()) && tracker.isUsable(u.id(), now))
                 .toList();
     }
 
-    private boolean bears(UpstreamPool pool, UpstreamNews upstream, long now) {
+    private boolean bears(UpstreamPool pool, UpstreamRecord upstream, long now) {
         return pool.cold().isEmpty()
                 || !directory.isCold(upstream, now)
                 || cold.mayTake(upstream.id(), pool.cold().get(), now);
@@ -213,27 +213,27 @@
      * Keeps the upstreams in the failure domain of most of the inputs, where these weigh more than the shared part of the
      * prompt, which may have to be read again there.
      */
-    private List<UpstreamNews> near(List<UpstreamNews> candidates, GatewayRequest request, StageInputs inputs) {
+    private List<UpstreamRecord> near(List<UpstreamRecord> candidates, GatewayRequest request, StageInputs inputs) {
         Optional<String> domain = inputs.largestDomain(directory);
         if (domain.isEmpty() || inputs.bytesIn(domain.get(), directory) < request.sharedTokens() * BYTES_PER_TOKEN) {
             return candidates;
         }
-        List<UpstreamNews> near = candidates.stream()
+        List<UpstreamRecord> near = candidates.stream()
                 .filter(u -> u.failureDomain().equals(domain.get()))
                 .toList();
         return near.isEmpty() ? candidates : near;
     }
 
-    private Optional<UpstreamNews> byAffinity(
-            List<UpstreamNews> candidates, String shared, Predicate<UpstreamNews> bears) {
+    private Optional<UpstreamRecord> byAffinity(
+            List<UpstreamRecord> candidates, String shared, Predicate<UpstreamRecord> bears) {
         double mean = candidates.stream()
                 .mapToInt(u -> tracker.inFlight(u.id()))
                 .average()
                 .orElse(0);
         double bound = mean * LOAD_BOUND + LOAD_SLACK;
-        UpstreamNews best = null;
+        UpstreamRecord best = null;
         long most = 0;
-        for (UpstreamNews upstream : candidates) {
+        for (UpstreamRecord upstream : candidates) {
             long score = RendezvousScore.of(shared, upstream.id());
             boolean first = best == null || score > most;
             if (first && tracker.inFlight(upstream.id()) <= bound && bears.test(upstream)) {
@@ -244,19 +244,19 @@
         return Optional.ofNullable(best);
     }
 
-    private Optional<UpstreamNews> byLoad(List<UpstreamNews> candidates, Predicate<UpstreamNews> bears) {
-        List<UpstreamNews> bearing = candidates.stream().filter(bears).toList();
+    private Optional<UpstreamRecord> byLoad(List<UpstreamRecord> candidates, Predicate<UpstreamRecord> bears) {
+        List<UpstreamRecord> bearing = candidates.stream().filter(bears).toList();
         if (bearing.isEmpty()) {
             return Optional.empty();
         }
         int least =
                 bearing.stream().mapToInt(u -> tracker.inFlight(u.id())).min().orElseThrow();
-        List<UpstreamNews> best =
+        List<UpstreamRecord> best =
                 bearing.stream().filter(u -> tracker.inFlight(u.id()) == least).toList();
-        List<UpstreamNews> near = best.stream()
+        List<UpstreamRecord> near = best.stream()
                 .filter(u -> u.failureDomain().equals(failureDomain))
                 .toList();
-        List<UpstreamNews> among = near.isEmpty() ? best : near;
+        List<UpstreamRecord> among = near.isEmpty() ? best : near;
         return Optional.of(among.get(random.nextInt(among.size())));
     }
 }
--- a/library/src/main/java/org/copperspindle/gateway/UpstreamDialect.java
+++ b/library/src/main/java/org/copperspindle/gateway/UpstreamDialect.java
@@ -3,8 +3,8 @@
 import java.util.List;
 import java.util.Optional;
 
+import org.copperspindle.backpressure.BackoffSignal;
 import org.copperspindle.backpressure.LimitSignal;
-import org.copperspindle.backpressure.RestSignal;
 import org.copperspindle.direct.DirectCall;
 import org.copperspindle.direct.DirectHead;
 import org.copperspindle.http.HeaderField;
@@ -20,7 +20,7 @@
      * @param order the attempt
      * @return the call
      */
-    DirectCall write(AttemptOrder order);
+    DirectCall write(AttemptSpec order);
 
     /**
      * Says whether an answer proves that the attempt did not run and never will.
@@ -60,7 +60,7 @@
      * @param head the answer's head
      * @return what it says of it
      */
-    RestSignal backoff(DirectHead head);
+    BackoffSignal backoff(DirectHead head);
 
     /**
      * Says whether the upstream that answered is about to leave.
--- a/library/src/main/java/org/copperspindle/mesh/CutOffWatch.java
+++ b/library/src/main/java/org/copperspindle/mesh/IsolationDetector.java
@@ -11,7 +11,7 @@
  * Tells a node that is cut off from the others from one that has lost some of them. Both see connections end; the one that
  * is cut off loses nearly all at once, and must not take over what the others go on with.
  */
-public final class CutOffWatch implements MeshListener {
+public final class IsolationDetector implements MeshListener {
 
     /**
      * A node that sees less than this part of the nodes of the last seconds is cut off. Six in ten may be killed at once,
@@ -32,7 +32,7 @@
      * @param connected how many other nodes are connected
      * @param timers    time on the network thread
      */
-    public CutOffWatch(IntSupplier connected, TimerService timers) {
+    public IsolationDetector(IntSupplier connected, TimerService timers) {
         this.connected = connected;
         this.timers = timers;
     }
--- a/library/src/main/java/org/copperspindle/quarantine/HeldRequest.java
+++ b/library/src/main/java/org/copperspindle/quarantine/QuarantinedRequest.java
@@ -12,14 +12,14 @@
  * @param sinceMillis     how long ago the last of them ended
  * @param remainingMillis how much longer it is held off
  */
-public record HeldRequest(
+public record QuarantinedRequest(
         String digest, String route, String account, List<String> upstreams, long sinceMillis, long remainingMillis) {
 
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    static HeldRequest of(Suspicion suspicion) {
+    static QuarantinedRequest of(Suspicion suspicion) {
         long hold = HoldPolicy.holdNanos(suspicion.level()) / NANOS_PER_MILLI;
-        return new HeldRequest(
+        return new QuarantinedRequest(
                 suspicion.digest().text(),
                 suspicion.route(),
                 suspicion.account(),
--- a/library/src/main/java/org/copperspindle/quarantine/RequestQuarantine.java
+++ b/library/src/main/java/org/copperspindle/quarantine/RequestQuarantine.java
@@ -13,7 +13,7 @@
 import org.apache.logging.log4j.Logger;
 import org.copperspindle.direct.ListenCheck;
 import org.copperspindle.discovery.UpstreamDirectory;
-import org.copperspindle.discovery.UpstreamNews;
+import org.copperspindle.discovery.UpstreamRecord;
 import org.copperspindle.measure.DecisionLog;
 import org.copperspindle.mesh.MeshListener;
 import org.copperspindle.mesh.MeshNode;
@@ -75,7 +75,7 @@
      * @param request the request
      * @return true while it is held off
      */
-    public boolean isQuarantined(WatchedRequest request) {
+    public boolean isQuarantined(TrackedRequest request) {
         return !table.isEmpty() && table.isQuarantined(request.digest(), timers.nanoTime());
     }
 
@@ -85,7 +85,7 @@
      * @param request the request
      * @return true also while it is held off
      */
-    public boolean isSuspected(WatchedRequest request) {
+    public boolean isSuspected(TrackedRequest request) {
         return find(request).filter(Suspicion::isSuspected).isPresent();
     }
 
@@ -97,7 +97,7 @@
      * @param previous the run before this one in the same attempt of the caller
      * @return the run, of which {@link #onSurvived} or {@link #onConnectionFailure} tells the end
      */
-    public UpstreamRun startRun(WatchedRequest request, UpstreamNews upstream, Optional<UpstreamRun> previous) {
+    public UpstreamRun startRun(TrackedRequest request, UpstreamRecord upstream, Optional<UpstreamRun> previous) {
         Optional<Suspicion> known = find(request);
         return new UpstreamRun(
                 request,
@@ -150,8 +150,10 @@
      *
      * @return in no order
      */
-    public List<HeldRequest> quarantined() {
-        return table.held(timers.nanoTime()).stream().map(HeldRequest::of).toList();
+    public List<QuarantinedRequest> quarantined() {
+        return table.held(timers.nanoTime()).stream()
+                .map(QuarantinedRequest::of)
+                .toList();
     }
 
     /**
@@ -219,7 +221,7 @@
         }
     }
 
-    private Optional<Suspicion> find(WatchedRequest request) {
+    private Optional<Suspicion> find(TrackedRequest request) {
         return table.isEmpty() ? Optional.empty() : table.find(request.digest(), timers.nanoTime());
     }
 
@@ -227,7 +229,7 @@
         return survival.computeIfAbsent(pool, p -> new PoolSurvival());
     }
 
-    private void upstreamEnded(UpstreamNews upstream, List<UpstreamRun> runs) {
+    private void upstreamEnded(UpstreamRecord upstream, List<UpstreamRun> runs) {
         long now = timers.nanoTime();
         terminatedUpstreams++;
         String life = UpstreamLife.of(upstream).text();
@@ -238,7 +240,7 @@
         endedUpstreams.add(List.of(life));
         List<Suspicion> news = new ArrayList<>();
         for (UpstreamRun run : runs) {
-            WatchedRequest request = run.request();
+            TrackedRequest request = run.request();
             int step = pool.endsWithout(request.digest(), now) ? HoldPolicy.END_AMONG_OTHERS : HoldPolicy.END;
             int level = run.levelAfter(step);
             run.ended(level);
--- a/library/src/main/java/org/copperspindle/quarantine/WatchedRequest.java
+++ b/library/src/main/java/org/copperspindle/quarantine/TrackedRequest.java
@@ -7,7 +7,7 @@
  * A request as far as it matters when an upstream ends under it. The digest is computed when it is first asked for: most
  * requests never need one.
  */
-public final class WatchedRequest {
+public final class TrackedRequest {
 
     private final String id;
     private final String route;
@@ -25,7 +25,7 @@
      * @param pool    pool that runs it
      * @param compute computes its digest
      */
-    public WatchedRequest(String id, String route, String account, String pool, Supplier<RequestDigest> compute) {
+    public TrackedRequest(String id, String route, String account, String pool, Supplier<RequestDigest> compute) {
         this.id = id;
         this.route = route;
         this.account = account;
--- a/library/src/main/java/org/copperspindle/quarantine/UpstreamEnds.java
+++ b/library/src/main/java/org/copperspindle/quarantine/UpstreamEnds.java
@@ -13,8 +13,8 @@
 import org.copperspindle.direct.ListenState;
 import org.copperspindle.discovery.DirectoryListener;
 import org.copperspindle.discovery.UpstreamDirectory;
-import org.copperspindle.discovery.UpstreamNews;
 import org.copperspindle.discovery.UpstreamPhase;
+import org.copperspindle.discovery.UpstreamRecord;
 import org.copperspindle.time.TimerService;
 
 /**
@@ -52,7 +52,7 @@
      * @param checked called once it is known whether something listens at the upstream's address
      */
     void lost(UpstreamRun run, Runnable checked) {
-        UpstreamNews upstream = run.upstream();
+        UpstreamRecord upstream = run.upstream();
         UpstreamLife life = run.life();
         boolean planned = directory
                 .find(upstream.id())
@@ -81,7 +81,7 @@
     }
 
     @Override
-    public void onChange(UpstreamNews news) {
+    public void onChange(UpstreamRecord news) {
         UpstreamLife life = UpstreamLife.of(news);
         if (news.phase() != UpstreamPhase.READY) {
             doubts.remove(life);
@@ -129,17 +129,17 @@
          * @param upstream the upstream
          * @param runs     runs of this node that it ended under
          */
-        void ended(UpstreamNews upstream, List<UpstreamRun> runs);
+        void ended(UpstreamRecord upstream, List<UpstreamRun> runs);
     }
 
     /** Runs that lost their connections to one life of an upstream. */
     private static final class Doubt {
-        private final UpstreamNews upstream;
+        private final UpstreamRecord upstream;
         private final List<UpstreamRun> runs = new ArrayList<>();
         private final List<Runnable> waiting = new ArrayList<>();
         private boolean checking;
 
-        private Doubt(UpstreamNews upstream) {
+        private Doubt(UpstreamRecord upstream) {
             this.upstream = upstream;
         }
 
--- a/library/src/main/java/org/copperspindle/quarantine/UpstreamRun.java
+++ b/library/src/main/java/org/copperspindle/quarantine/UpstreamRun.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-import org.copperspindle.discovery.UpstreamNews;
+import org.copperspindle.discovery.UpstreamRecord;
 
 /**
  * One run of a request at one upstream, with what was thought of the request when it was sent there. If the upstream ends, that
@@ -11,8 +11,8 @@
  */
 public final class UpstreamRun {
 
-    private final WatchedRequest request;
-    private final UpstreamNews upstream;
+    private final TrackedRequest request;
+    private final UpstreamRecord upstream;
     private final long epoch;
     private final int levelBefore;
     private final Optional<UpstreamRun> previous;
@@ -21,8 +21,8 @@
     private int levelAfter;
 
     UpstreamRun(
-            WatchedRequest request,
-            UpstreamNews upstream,
+            TrackedRequest request,
+            UpstreamRecord upstream,
             long epoch,
             int levelBefore,
             Optional<UpstreamRun> previous,
@@ -40,7 +40,7 @@
      *
      * @return as it was known when the request was sent there
      */
-    public UpstreamNews upstream() {
+    public UpstreamRecord upstream() {
         return upstream;
     }
 
@@ -49,7 +49,7 @@
      *
      * @return the request that runs
      */
-    public WatchedRequest request() {
+    public TrackedRequest request() {
         return request;
     }
 
--- a/library/src/test/java/org/copperspindle/backpressure/RestSignalTest.java
+++ b/library/src/test/java/org/copperspindle/backpressure/BackoffSignalTest.java
@@ -10,22 +10,22 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class RestSignalTest {
+class BackoffSignalTest {
 
     @ParameterizedTest
     @CsvSource({"3, 3000", "0.25, 250", "0, 0", "' 2 ', 2000", "999999999999, 3600000"})
     void secondsAreARest(String value, long millis) {
-        assertThat(RestSignal.of(List.of(value))).isEqualTo(new RestSignal.Asked(Duration.ofMillis(millis)));
+        assertThat(BackoffSignal.of(List.of(value))).isEqualTo(new BackoffSignal.Asked(Duration.ofMillis(millis)));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", "-3", "NaN", "soon", "Wed, 21 Oct 2026 07:28:00 GMT", "1e3"})
     void anythingElseAsksForNothing(String value) {
-        assertThat(RestSignal.of(List.of(value))).isInstanceOf(RestSignal.Unreadable.class);
+        assertThat(BackoffSignal.of(List.of(value))).isInstanceOf(BackoffSignal.Unreadable.class);
     }
 
     @Test
     void longestOfSeveralCounts() {
-        assertThat(RestSignal.of(List.of("1", "x", "4"))).isEqualTo(new RestSignal.Asked(Duration.ofSeconds(4)));
+        assertThat(BackoffSignal.of(List.of("1", "x", "4"))).isEqualTo(new BackoffSignal.Asked(Duration.ofSeconds(4)));
     }
 }
--- a/library/src/test/java/org/copperspindle/backpressure/SendPermitsTest.java
+++ b/library/src/test/java/org/copperspindle/backpressure/SendPermitsTest.java
@@ -7,8 +7,8 @@
 import java.util.Random;
 
 import org.copperspindle.discovery.UpstreamDirectory;
-import org.copperspindle.discovery.UpstreamNews;
 import org.copperspindle.discovery.UpstreamPhase;
+import org.copperspindle.discovery.UpstreamRecord;
 import org.copperspindle.measure.BusiestWindow;
 import org.copperspindle.measure.DecisionLog;
 import org.copperspindle.routing.RendezvousScore;
@@ -185,7 +185,7 @@
             this.number = number;
             this.name = "n" + number;
             directory.accept(
-                    new UpstreamNews(LIMITED, 0, "p", "10.0.0.1:1", "a", UpstreamPhase.READY, 1, 1, 0, 0), startedAt);
+                    new UpstreamRecord(LIMITED, 0, "p", "10.0.0.1:1", "a", UpstreamPhase.READY, 1, 1, 0, 0), startedAt);
         }
 
         @Override
--- a/library/src/test/java/org/copperspindle/backpressure/UpstreamRestsTest.java
+++ b/library/src/test/java/org/copperspindle/backpressure/UpstreamBackoffsTest.java
@@ -3,8 +3,8 @@
 import java.time.Duration;
 
 import org.copperspindle.discovery.UpstreamDirectory;
-import org.copperspindle.discovery.UpstreamNews;
 import org.copperspindle.discovery.UpstreamPhase;
+import org.copperspindle.discovery.UpstreamRecord;
 import org.copperspindle.measure.DecisionLog;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -12,14 +12,14 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class UpstreamRestsTest {
+class UpstreamBackoffsTest {
 
     private static final long SECOND = 1_000_000_000L;
 
     private final UpstreamDirectory directory = new UpstreamDirectory();
-    private final UpstreamRests rests = new UpstreamRests(directory, new DecisionLog(0, 0));
+    private final UpstreamBackoffs rests = new UpstreamBackoffs(directory, new DecisionLog(0, 0));
 
-    UpstreamRestsTest() {
+    UpstreamBackoffsTest() {
         announce(1, UpstreamPhase.READY);
     }
 
@@ -51,7 +51,7 @@
         for (int most = 1; most <= 32; most *= 2) {
             assertThat(rests.mayTake("e", most - 1, now)).isTrue();
             assertThat(rests.mayTake("e", most, now)).isFalse();
-            rests.onResponse("e", RestSignal.ABSENT, true, now);
+            rests.onResponse("e", BackoffSignal.ABSENT, true, now);
         }
         assertThat(rests.mayTake("e", 1000, now)).isTrue();
     }
@@ -60,7 +60,7 @@
     @Test
     void answerWithinTheRestShowsNothing() {
         ask(3, 0);
-        rests.onResponse("e", RestSignal.ABSENT, true, SECOND);
+        rests.onResponse("e", BackoffSignal.ABSENT, true, SECOND);
         assertThat(rests.mayTake("e", 0, SECOND)).isFalse();
         assertThat(rests.mayTake("e", 1, 3 * SECOND)).isFalse();
     }
@@ -68,7 +68,7 @@
     @Test
     void refusalAfterTheRestIsNoSignOfRecovery() {
         ask(3, 0);
-        rests.onResponse("e", RestSignal.ABSENT, false, 3 * SECOND);
+        rests.onResponse("e", BackoffSignal.ABSENT, false, 3 * SECOND);
         assertThat(rests.mayTake("e", 1, 3 * SECOND)).isFalse();
     }
 
@@ -92,10 +92,10 @@
     }
 
     private void ask(int seconds, long now) {
-        rests.onResponse("e", new RestSignal.Asked(Duration.ofSeconds(seconds)), false, now);
+        rests.onResponse("e", new BackoffSignal.Asked(Duration.ofSeconds(seconds)), false, now);
     }
 
     private void announce(long incarnation, UpstreamPhase phase) {
-        directory.accept(new UpstreamNews("e", incarnation, "p", "10.0.0.1:1", "a", phase, 1, 1, 0, 0), 0);
+        directory.accept(new UpstreamRecord("e", incarnation, "p", "10.0.0.1:1", "a", phase, 1, 1, 0, 0), 0);
     }
 }
--- a/library/src/test/java/org/copperspindle/backpressure/UpstreamLimitsTest.java
+++ b/library/src/test/java/org/copperspindle/backpressure/UpstreamLimitsTest.java
@@ -3,8 +3,8 @@
 import java.util.OptionalDouble;
 
 import org.copperspindle.discovery.UpstreamDirectory;
-import org.copperspindle.discovery.UpstreamNews;
 import org.copperspindle.discovery.UpstreamPhase;
+import org.copperspindle.discovery.UpstreamRecord;
 import org.copperspindle.measure.DecisionLog;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -86,6 +86,6 @@
     }
 
     private void announce(long incarnation, UpstreamPhase phase) {
-        directory.accept(new UpstreamNews("e", incarnation, "p", "10.0.0.1:1", "a", phase, 1, 1, 0, 0), 0);
+        directory.accept(new UpstreamRecord("e", incarnation, "p", "10.0.0.1:1", "a", phase, 1, 1, 0, 0), 0);
     }
 }
--- a/library/src/test/java/org/copperspindle/batch/BatchServiceTest.java
+++ b/library/src/test/java/org/copperspindle/batch/BatchServiceTest.java
@@ -184,7 +184,7 @@
     }
 
     /** A node that serves and should not pack while there are others. */
-    private static final class SmallNode implements PackerStatus {
+    private static final class SmallNode implements DispatcherStatus {
         @Override
         public boolean isServing() {
             return true;
--- a/library/src/test/java/org/copperspindle/batch/PiecePromisesTest.java
+++ b/library/src/test/java/org/copperspindle/batch/ExpectedPiecesTest.java
@@ -6,11 +6,11 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class PiecePromisesTest {
+class ExpectedPiecesTest {
 
     private static final long MILLI = 1_000_000L;
 
-    private final PiecePromises promises = new PiecePromises();
+    private final ExpectedPieces promises = new ExpectedPieces();
 
     @Test
     void tellsWhatHasChanged() {
--- a/library/src/test/java/org/copperspindle/batch/FakeStagePort.java
+++ b/library/src/test/java/org/copperspindle/batch/FakeStagePort.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-import org.copperspindle.discovery.UpstreamNews;
+import org.copperspindle.discovery.UpstreamRecord;
 import org.copperspindle.route.BatchLimits;
 import org.copperspindle.time.VirtualTimerService;
 
@@ -41,7 +41,7 @@
 
     @Override
     public void run(
-            UpstreamNews upstream, List<StageItem> items, long timeoutMillis, Consumer<StageCallResult> callback) {
+            UpstreamRecord upstream, List<StageItem> items, long timeoutMillis, Consumer<StageCallResult> callback) {
         String id = upstream.id();
         calls.add(new Call(id, items, time.nanoTime()));
         Conduct how = conduct.getOrDefault(id, Conduct.SOUND);
@@ -72,13 +72,13 @@
     }
 
     @Override
-    public void free(UpstreamNews upstream, List<String> handles, Runnable ended) {
+    public void free(UpstreamRecord upstream, List<String> handles, Runnable ended) {
         freed.addAll(handles);
         freeCalls++;
         time.schedule(freeNanos, ended);
     }
 
-    private PieceOutcome outcome(UpstreamNews upstream, Conduct how) {
+    private PieceOutcome outcome(UpstreamRecord upstream, Conduct how) {
         return switch (how) {
             case WITHOUT_ROOM -> new PieceOutcome.Missed(MissReason.NO_ROOM);
             case FAILING -> new PieceOutcome.Missed(MissReason.FAILED);
--- a/library/src/test/java/org/copperspindle/batch/FetchTimeTest.java
+++ b/library/src/test/java/org/copperspindle/batch/FetchTimeEstimatorTest.java
@@ -8,12 +8,12 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class FetchTimeTest {
+class FetchTimeEstimatorTest {
 
     private static final long MILLI = 1_000_000L;
     private static final BatchLimits LIMITS = TestRoutes.batch(40);
 
-    private final FetchTime time = new FetchTime();
+    private final FetchTimeEstimator time = new FetchTimeEstimator();
 
     /** Over 10 Gbit/s shared by three, a megabyte takes 2.4 ms. */
     @ParameterizedTest
--- a/library/src/test/java/org/copperspindle/batch/LimitedStageTest.java
+++ b/library/src/test/java/org/copperspindle/batch/LimitedStageTest.java
@@ -5,8 +5,8 @@
 import java.util.Optional;
 
 import org.copperspindle.discovery.UpstreamDirectory;
-import org.copperspindle.discovery.UpstreamNews;
 import org.copperspindle.discovery.UpstreamPhase;
+import org.copperspindle.discovery.UpstreamRecord;
 import org.copperspindle.measure.DecisionLog;
 import org.copperspindle.route.BatchLimits;
 import org.copperspindle.route.TestRoutes;
@@ -83,7 +83,8 @@
     }
 
     private void upstream(String id, String address) {
-        directory.accept(new UpstreamNews(id, 0, "p", address, "d", UpstreamPhase.READY, 1, 1, 0, 0), time.nanoTime());
+        directory.accept(
+                new UpstreamRecord(id, 0, "p", address, "d", UpstreamPhase.READY, 1, 1, 0, 0), time.nanoTime());
     }
 
     private PieceGroup group() {
--- a/library/src/test/java/org/copperspindle/batch/PartedCallsTest.java
+++ b/library/src/test/java/org/copperspindle/batch/PartedCallsTest.java
@@ -5,8 +5,8 @@
 import java.util.Optional;
 
 import org.copperspindle.discovery.UpstreamDirectory;
-import org.copperspindle.discovery.UpstreamNews;
 import org.copperspindle.discovery.UpstreamPhase;
+import org.copperspindle.discovery.UpstreamRecord;
 import org.copperspindle.measure.DecisionLog;
 import org.copperspindle.route.BatchLimits;
 import org.copperspindle.route.TestRoutes;
@@ -79,7 +79,7 @@
 
     private void announce(int number) {
         directory.accept(
-                new UpstreamNews(
+                new UpstreamRecord(
                         "u" + number, 0, "p", "10.0.0." + (number + 1) + ":1", "d", UpstreamPhase.READY, 1, 1, 0, 0),
                 time.nanoTime());
     }
--- a/library/src/test/java/org/copperspindle/batch/PoolDispatcherTest.java
+++ b/library/src/test/java/org/copperspindle/batch/PoolDispatcherTest.java
@@ -8,8 +8,8 @@
 
 import org.copperspindle.batch.FakeStagePort.Conduct;
 import org.copperspindle.discovery.UpstreamDirectory;
-import org.copperspindle.discovery.UpstreamNews;
 import org.copperspindle.discovery.UpstreamPhase;
+import org.copperspindle.discovery.UpstreamRecord;
 import org.copperspindle.measure.DecisionLog;
 import org.copperspindle.route.BatchLimits;
 import org.copperspindle.route.TestRoutes;
@@ -351,7 +351,8 @@
     @Test
     void coldUpstreamIsRarelyToldOfResults() {
         directory.accept(
-                new UpstreamNews("a", 0, "p", "10.0.0.1:1", "d1", UpstreamPhase.READY, 1, 1, 0, 3000), time.nanoTime());
+                new UpstreamRecord("a", 0, "p", "10.0.0.1:1", "d1", UpstreamPhase.READY, 1, 1, 0, 3000),
+                time.nanoTime());
         dispatcher.dispatch();
         for (int i = 0; i < 100; i++) {
             dispatcher.free(List.of("10.0.0.1:1/" + i));
@@ -373,7 +374,7 @@
 
     private void announce(String id, long incarnation, String address, String domain) {
         directory.accept(
-                new UpstreamNews(id, incarnation, "p", address, domain, UpstreamPhase.READY, 1, 1, 0, 0),
+                new UpstreamRecord(id, incarnation, "p", address, domain, UpstreamPhase.READY, 1, 1, 0, 0),
                 time.nanoTime());
     }
 
--- a/library/src/test/java/org/copperspindle/batch/PoolUpstreamsTest.java
+++ b/library/src/test/java/org/copperspindle/batch/PoolUpstreamsTest.java
@@ -4,8 +4,8 @@
 import java.util.stream.IntStream;
 
 import org.copperspindle.discovery.UpstreamDirectory;
-import org.copperspindle.discovery.UpstreamNews;
 import org.copperspindle.discovery.UpstreamPhase;
+import org.copperspindle.discovery.UpstreamRecord;
 import org.copperspindle.route.BatchLimits;
 import org.copperspindle.route.TestRoutes;
 import org.junit.jupiter.api.Test;
@@ -81,7 +81,7 @@
     private void announce(String... ids) {
         for (String id : ids) {
             String address = "10.0.0." + (directory.ready("p").size() + 1) + ":1";
-            directory.accept(new UpstreamNews(id, 0, "p", address, "d", UpstreamPhase.READY, 1, 1, 0, 0), 0);
+            directory.accept(new UpstreamRecord(id, 0, "p", address, "d", UpstreamPhase.READY, 1, 1, 0, 0), 0);
         }
         upstreams.refresh();
     }
--- a/library/src/test/java/org/copperspindle/batch/ResultMemoryTest.java
+++ b/library/src/test/java/org/copperspindle/batch/ResultMemoryTest.java
@@ -10,8 +10,8 @@
 import java.util.stream.IntStream;
 
 import org.copperspindle.discovery.UpstreamDirectory;
-import org.copperspindle.discovery.UpstreamNews;
 import org.copperspindle.discovery.UpstreamPhase;
+import org.copperspindle.discovery.UpstreamRecord;
 import org.copperspindle.measure.DecisionLog;
 import org.copperspindle.route.BatchLimits;
 import org.copperspindle.time.VirtualTimerService;
@@ -74,7 +74,8 @@
     private PoolDispatcher dispatcher(String pool, BatchLimits limits, int host, PoolDispatcher.ResultSink sink) {
         IntStream.range(host, host + 4)
                 .forEach(i -> directory.accept(
-                        new UpstreamNews(pool + i, 0, pool, "10.0.0." + i + ":1", "d", UpstreamPhase.READY, 1, 1, 0, 0),
+                        new UpstreamRecord(
+                                pool + i, 0, pool, "10.0.0." + i + ":1", "d", UpstreamPhase.READY, 1, 1, 0, 0),
                         0));
         return new PoolDispatcher(
                 pool,
--- a/library/src/test/java/org/copperspindle/batch/SharedCallsTest.java
+++ b/library/src/test/java/org/copperspindle/batch/SharedCallsTest.java
@@ -9,8 +9,8 @@
 import java.util.stream.IntStream;
 
 import org.copperspindle.discovery.UpstreamDirectory;
-import org.copperspindle.discovery.UpstreamNews;
 import org.copperspindle.discovery.UpstreamPhase;
+import org.copperspindle.discovery.UpstreamRecord;
 import org.copperspindle.measure.DecisionLog;
 import org.copperspindle.route.BatchLimits;
 import org.copperspindle.route.TestRoutes;
@@ -49,7 +49,7 @@
         UpstreamDirectory directory = new UpstreamDirectory();
         IntStream.range(0, 4)
                 .forEach(i -> directory.accept(
-                        new UpstreamNews("u" + i, 0, "p", "10.0.0." + i + ":1", "d", UpstreamPhase.READY, 1, 1, 0, 0),
+                        new UpstreamRecord("u" + i, 0, "p", "10.0.0." + i + ":1", "d", UpstreamPhase.READY, 1, 1, 0, 0),
                         0));
         FakeStagePort port = new FakeStagePort(time, LIMITS);
         Map<Long, Integer> left = new HashMap<>();
--- a/library/src/test/java/org/copperspindle/batch/SlowUpstreamTest.java
+++ b/library/src/test/java/org/copperspindle/batch/SlowUpstreamTest.java
@@ -7,8 +7,8 @@
 import org.assertj.core.data.Percentage;
 import org.copperspindle.batch.FakeStagePort.Conduct;
 import org.copperspindle.discovery.UpstreamDirectory;
-import org.copperspindle.discovery.UpstreamNews;
 import org.copperspindle.discovery.UpstreamPhase;
+import org.copperspindle.discovery.UpstreamRecord;
 import org.copperspindle.measure.DecisionLog;
 import org.copperspindle.route.BatchLimits;
 import org.copperspindle.route.TestRoutes;
@@ -96,7 +96,7 @@
      */
     @Test
     void poolIsAsFastAsBeforeOnceItsCallerWakes() {
-        StandstillWatch watch = new StandstillWatch();
+        PauseDetector watch = new PauseDetector();
         dispatcher.judgingBy(watch);
         watch.look(time.nanoTime());
         port.standsStillUntil = 8000 * MILLI;
@@ -153,7 +153,7 @@
 
     private void upstream(String id) {
         String address = "10.0.0." + (directory.ready("p").size() + 1) + ":1";
-        directory.accept(new UpstreamNews(id, 0, "p", address, "d", UpstreamPhase.READY, 1, 1, 0, 0), 0);
+        directory.accept(new UpstreamRecord(id, 0, "p", address, "d", UpstreamPhase.READY, 1, 1, 0, 0), 0);
     }
 
     private PieceGroup group() {
--- a/library/src/test/java/org/copperspindle/batch/SplitGroupsTest.java
+++ b/library/src/test/java/org/copperspindle/batch/SplitGroupsTest.java
@@ -9,8 +9,8 @@
 import java.util.stream.IntStream;
 
 import org.copperspindle.discovery.UpstreamDirectory;
-import org.copperspindle.discovery.UpstreamNews;
 import org.copperspindle.discovery.UpstreamPhase;
+import org.copperspindle.discovery.UpstreamRecord;
 import org.copperspindle.measure.DecisionLog;
 import org.copperspindle.route.BatchLimits;
 import org.copperspindle.time.VirtualTimerService;
@@ -42,7 +42,7 @@
     void callsAreFullUnderLoad() {
         IntStream.range(0, 4)
                 .forEach(i -> directory.accept(
-                        new UpstreamNews("u" + i, 0, "p", "10.0.0." + i + ":1", "d", UpstreamPhase.READY, 1, 1, 0, 0),
+                        new UpstreamRecord("u" + i, 0, "p", "10.0.0." + i + ":1", "d", UpstreamPhase.READY, 1, 1, 0, 0),
                         0));
         PoolDispatcher dispatcher = new PoolDispatcher(
                 "p",
--- a/library/src/test/java/org/copperspindle/discovery/DirectoryGossipTest.java
+++ b/library/src/test/java/org/copperspindle/discovery/DirectoryGossipTest.java
@@ -57,8 +57,9 @@
                 time.advance(Duration.ofMillis(1200).toNanos() / upstreams);
             }
         }
-        List<UpstreamNewsMessage> repeats =
-                other.sent(UpstreamNewsMessage.class).stream().skip(upstreams).toList();
+        List<UpstreamRecordsMessage> repeats = other.sent(UpstreamRecordsMessage.class).stream()
+                .skip(upstreams)
+                .toList();
         assertThat(repeats).hasSizeBetween(9, 20);
         assertThat(repeats)
                 .allSatisfy(message -> assertThat(message.news())
@@ -70,12 +71,12 @@
     @Test
     void changeIsPassedOnAtOnce() {
         gossip.onAnnouncement(news(1, 0));
-        gossip.onLeft("u1", UpstreamNews.UNKNOWN_INCARNATION, "drained");
-        assertThat(other.sent(UpstreamNewsMessage.class)).hasSize(2);
+        gossip.onLeft("u1", UpstreamRecord.UNKNOWN_INCARNATION, "drained");
+        assertThat(other.sent(UpstreamRecordsMessage.class)).hasSize(2);
     }
 
-    private static UpstreamNews news(int number, long sequence) {
-        return new UpstreamNews(
+    private static UpstreamRecord news(int number, long sequence) {
+        return new UpstreamRecord(
                 "u" + number, 0, "p", "10.0.0." + number + ":1", "d", UpstreamPhase.READY, 1, sequence, 0, 0);
     }
 }
--- a/library/src/test/java/org/copperspindle/discovery/UpstreamDirectoryTest.java
+++ b/library/src/test/java/org/copperspindle/discovery/UpstreamDirectoryTest.java
@@ -43,13 +43,13 @@
     @Test
     void upstreamThatSaidItLeavesStaysAway() {
         live("e", 1, UpstreamPhase.READY, 1);
-        assertThat(directory.leaving("e", now)).map(UpstreamNews::phase).contains(UpstreamPhase.LEAVING);
+        assertThat(directory.leaving("e", now)).map(UpstreamRecord::phase).contains(UpstreamPhase.LEAVING);
         assertThat(directory.leaving("e", now)).isEmpty();
         live("e", 1, UpstreamPhase.READY, 2);
         assertThat(directory.ready("p")).isEmpty();
         assertThat(directory.find("e")).isPresent();
         live("e", 2, UpstreamPhase.READY, 1);
-        assertThat(directory.ready("p")).extracting(UpstreamNews::incarnation).containsExactly(2L);
+        assertThat(directory.ready("p")).extracting(UpstreamRecord::incarnation).containsExactly(2L);
     }
 
     @Test
@@ -83,7 +83,9 @@
         now += SECOND;
         hear("new", "10.0.0.1:1", UpstreamPhase.READY, 2, 0);
         assertThat(readyIds()).containsExactly("new");
-        assertThat(directory.findByAddress("10.0.0.1:1")).map(UpstreamNews::id).hasValue("new");
+        assertThat(directory.findByAddress("10.0.0.1:1"))
+                .map(UpstreamRecord::id)
+                .hasValue("new");
     }
 
     /** A node that comes back passes on what it heard long ago; what was heard since goes before it. */
@@ -149,7 +151,7 @@
         now += 61 * SECOND;
         hear("c", "10.0.0.3:1", UpstreamPhase.READY, 1, 0);
         directory.forgetSilent(now);
-        assertThat(directory.all(now)).map(UpstreamNews::id).containsExactly("c");
+        assertThat(directory.all(now)).map(UpstreamRecord::id).containsExactly("c");
     }
 
     @Test
@@ -161,7 +163,7 @@
     }
 
     private List<String> readyIds() {
-        return directory.ready("p").stream().map(UpstreamNews::id).toList();
+        return directory.ready("p").stream().map(UpstreamRecord::id).toList();
     }
 
     /** An operator evacuates a failure domain: its upstreams get nothing, and get work again once that has ended. */
@@ -186,8 +188,8 @@
     @ParameterizedTest
     @CsvSource({"0, 2999, true", "0, 3000, false", "2000, 999, true", "2000, 1000, false"})
     void coldnessEndsCountedFromWhenItWasStated(long ageMillis, long laterMillis, boolean cold) {
-        UpstreamNews news =
-                new UpstreamNews("a", 0, "p", "10.0.0.1:1", "d", UpstreamPhase.READY, 4, 1, ageMillis, 3000);
+        UpstreamRecord news =
+                new UpstreamRecord("a", 0, "p", "10.0.0.1:1", "d", UpstreamPhase.READY, 4, 1, ageMillis, 3000);
         directory.accept(news, now);
         assertThat(directory.isCold(news, now + laterMillis * 1_000_000L)).isEqualTo(cold);
     }
@@ -208,7 +210,7 @@
     void upstreamsOfADomainThatIsUsedAgainCountAsCold() {
         directory.setColdTimes(Map.of("p", 3 * SECOND));
         hear("a", "10.0.0.1:1", UpstreamPhase.READY, 1, 0);
-        UpstreamNews news = directory.find("a").orElseThrow();
+        UpstreamRecord news = directory.find("a").orElseThrow();
         assertThat(directory.isCold(news, now)).isFalse();
         directory.evacuate(Set.of("d"), now);
         directory.evacuate(Set.of(), now);
@@ -219,15 +221,16 @@
 
     private DirectoryChange hearCold(long sequence, long coldMillis) {
         return directory.accept(
-                new UpstreamNews("c", 0, "p", "10.0.0.3:1", "d", UpstreamPhase.READY, 4, sequence, 0, coldMillis), now);
+                new UpstreamRecord("c", 0, "p", "10.0.0.3:1", "d", UpstreamPhase.READY, 4, sequence, 0, coldMillis),
+                now);
     }
 
     private DirectoryChange hear(String id, String address, UpstreamPhase phase, long sequence, long ageMillis) {
-        return directory.accept(new UpstreamNews(id, 0, "p", address, "d", phase, 4, sequence, ageMillis, 0), now);
+        return directory.accept(new UpstreamRecord(id, 0, "p", address, "d", phase, 4, sequence, ageMillis, 0), now);
     }
 
     private DirectoryChange live(String id, long incarnation, UpstreamPhase phase, long sequence) {
         return directory.accept(
-                new UpstreamNews(id, incarnation, "p", "10.0.0.1:1", "d", phase, 4, sequence, 0, 0), now);
+                new UpstreamRecord(id, incarnation, "p", "10.0.0.1:1", "d", phase, 4, sequence, 0, 0), now);
     }
 }
--- a/library/src/test/java/org/copperspindle/gateway/LeaseWaitTest.java
+++ b/library/src/test/java/org/copperspindle/gateway/LeaseWaitTest.java
@@ -33,7 +33,7 @@
     }
 
     /** A node that waits for its first lease, or does not. */
-    private record Outlook(boolean isUnderWay) implements LeaseOutlook {
+    private record Outlook(boolean isUnderWay) implements LeaseStatus {
         @Override
         public Duration returnAfter() {
             return Duration.ZERO;
--- a/library/src/test/java/org/copperspindle/gateway/LoneBatches.java
+++ b/library/src/test/java/org/copperspindle/gateway/LoneBatches.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 
 import org.copperspindle.batch.BatchService;
-import org.copperspindle.batch.PackerStatus;
+import org.copperspindle.batch.DispatcherStatus;
 import org.copperspindle.batch.StagePort;
 import org.copperspindle.discovery.UpstreamDirectory;
 import org.copperspindle.measure.DecisionLog;
@@ -60,7 +60,7 @@
     }
 
     /** The only node. */
-    private static final class Alone implements PackerStatus {
+    private static final class Alone implements DispatcherStatus {
         @Override
         public boolean isServing() {
             return true;
--- a/library/src/test/java/org/copperspindle/gateway/WaitEstimateTest.java
+++ b/library/src/test/java/org/copperspindle/gateway/PriorWaitEstimatorTest.java
@@ -9,9 +9,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class WaitEstimateTest {
+class PriorWaitEstimatorTest {
 
-    private final WaitEstimate waits = new WaitEstimate();
+    private final PriorWaitEstimator waits = new PriorWaitEstimator();
 
     /** Callers of one route wait for 17 to 23 s. All come for the first time, and none may be taken for late. */
     @Test
--- a/library/src/test/java/org/copperspindle/gateway/SharedIdleConnectionsTest.java
+++ b/library/src/test/java/org/copperspindle/gateway/SharedIdleConnectionsTest.java
@@ -6,8 +6,8 @@
 import java.util.Set;
 
 import org.copperspindle.discovery.UpstreamDirectory;
-import org.copperspindle.discovery.UpstreamNews;
 import org.copperspindle.discovery.UpstreamPhase;
+import org.copperspindle.discovery.UpstreamRecord;
 import org.copperspindle.route.RouteTable;
 import org.copperspindle.route.TestRoutes;
 import org.copperspindle.route.UpstreamPool;
@@ -55,7 +55,7 @@
     }
 
     private SharedIdleConnections idle(int nodes, UpstreamPool pool) {
-        directory.accept(new UpstreamNews("u", 0, "p", ADDRESS, "d", UpstreamPhase.READY, 1, 1, 0, 0), 0);
+        directory.accept(new UpstreamRecord("u", 0, "p", ADDRESS, "d", UpstreamPhase.READY, 1, 1, 0, 0), 0);
         RouteTable table = TestRoutes.table(1, List.of(), List.of(pool));
         return new SharedIdleConnections(directory, () -> Optional.of(table), () -> nodes);
     }
--- a/library/src/test/java/org/copperspindle/gateway/SimulatedStages.java
+++ b/library/src/test/java/org/copperspindle/gateway/SimulatedStages.java
@@ -11,7 +11,7 @@
 import org.copperspindle.batch.StageCallResult;
 import org.copperspindle.batch.StageItem;
 import org.copperspindle.batch.StagePort;
-import org.copperspindle.discovery.UpstreamNews;
+import org.copperspindle.discovery.UpstreamRecord;
 import org.copperspindle.route.BatchLimits;
 import org.copperspindle.time.TimerService;
 
@@ -49,7 +49,7 @@
 
     @Override
     public void run(
-            UpstreamNews upstream, List<StageItem> items, long timeoutMillis, Consumer<StageCallResult> callback) {
+            UpstreamRecord upstream, List<StageItem> items, long timeoutMillis, Consumer<StageCallResult> callback) {
         Server server = server(upstream);
         BatchLimits limits = pools.get(upstream.pool());
         if (server.calls >= limits.concurrentCalls() + limits.maxQueuedCalls()) {
@@ -66,7 +66,7 @@
     }
 
     @Override
-    public void free(UpstreamNews upstream, List<String> handles, Runnable ended) {
+    public void free(UpstreamRecord upstream, List<String> handles, Runnable ended) {
         timers.schedule(WAY_NANOS, () -> handles.forEach(server(upstream)::drop));
         timers.schedule(2 * WAY_NANOS, ended);
     }
@@ -143,7 +143,7 @@
         return sum;
     }
 
-    private Server server(UpstreamNews upstream) {
+    private Server server(UpstreamRecord upstream) {
         Server server = servers.computeIfAbsent(upstream.address(), Server::new);
         server.domain = upstream.failureDomain();
         return server;
--- a/library/src/test/java/org/copperspindle/gateway/StageGateTest.java
+++ b/library/src/test/java/org/copperspindle/gateway/StageAdmissionTest.java
@@ -17,7 +17,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class StageGateTest {
+class StageAdmissionTest {
 
     private static final long MILLI = 1_000_000L;
 
@@ -25,7 +25,7 @@
 
     private long waitMillis;
     private long promised;
-    private final StageGate gate = new StageGate(this::load, new FirstEventTimes());
+    private final StageAdmission gate = new StageAdmission(this::load, new FirstEventLatencies());
 
     /**
      * A route of two stages with an objective of 2 s, whose shortest run takes 720 ms. The pools tell of longer and longer
@@ -42,7 +42,7 @@
         "1900, 1500, 600, REFUSE"
     })
     void beginsWhatCanBeOnTimeAndHoldsOrRefusesTheRest(
-            long wait, long waitedMillis, long deadlineMillis, GateVerdict verdict) {
+            long wait, long waitedMillis, long deadlineMillis, StageAdmissionVerdict verdict) {
         waitMillis = wait;
         assertThat(gate.judge(request(waitedMillis, deadlineMillis), false, 0).verdict())
                 .isEqualTo(verdict);
@@ -55,7 +55,8 @@
      */
     @ParameterizedTest
     @CsvSource({"0, 499, HOLD", "0, 500, REFUSE", "1500, 500, HOLD", "1500, 5900, REFUSE"})
-    void tellsFirstComersSoonAndHoldsThoseThatCameBack(long waitedMillis, long heldMillis, GateVerdict verdict) {
+    void tellsFirstComersSoonAndHoldsThoseThatCameBack(
+            long waitedMillis, long heldMillis, StageAdmissionVerdict verdict) {
         waitMillis = 5000;
         assertThat(gate.judge(request(waitedMillis, 20_000), true, heldMillis * MILLI)
                         .verdict())
@@ -68,7 +69,7 @@
      */
     @ParameterizedTest
     @CsvSource({"0, 4000, BEGIN", "0, 2600, REFUSE", "1600, 8000, HOLD", "1600, 4000, REFUSE"})
-    void beginsNothingThatItsCallerWouldNotSeeTheEndOf(long wait, long deadlineMillis, GateVerdict verdict) {
+    void beginsNothingThatItsCallerWouldNotSeeTheEndOf(long wait, long deadlineMillis, StageAdmissionVerdict verdict) {
         waitMillis = wait;
         AdmittedRequest request = request(5000, deadlineMillis, 2000 * MILLI, 0);
         assertThat(gate.judge(request, false, 0).verdict()).isEqualTo(verdict);
@@ -77,7 +78,7 @@
     /** In a load that lasts, pools are never idle: the longer a caller was held, the longer the waits it may begin at. */
     @ParameterizedTest
     @CsvSource({"0, HOLD", "1000, HOLD", "3000, BEGIN"})
-    void heldRequestBeginsAtLongerWaitsInTime(long heldMillis, GateVerdict verdict) {
+    void heldRequestBeginsAtLongerWaitsInTime(long heldMillis, StageAdmissionVerdict verdict) {
         waitMillis = 140;
         assertThat(gate.judge(request(5000, 20_000), true, heldMillis * MILLI).verdict())
                 .isEqualTo(verdict);
@@ -87,11 +88,11 @@
     @Test
     void countsWhatRequestsBeforeItWillSend() {
         AdmittedRequest request = request(0, 20_000);
-        assertThat(gate.judge(request, false, 0).verdict()).isEqualTo(GateVerdict.BEGIN);
+        assertThat(gate.judge(request, false, 0).verdict()).isEqualTo(StageAdmissionVerdict.BEGIN);
         promised = 960;
-        assertThat(gate.judge(request, false, 0).verdict()).isEqualTo(GateVerdict.HOLD);
+        assertThat(gate.judge(request, false, 0).verdict()).isEqualTo(StageAdmissionVerdict.HOLD);
         promised = 0;
-        assertThat(gate.judge(request, false, 0).verdict()).isEqualTo(GateVerdict.BEGIN);
+        assertThat(gate.judge(request, false, 0).verdict()).isEqualTo(StageAdmissionVerdict.BEGIN);
     }
 
     /** A burst is over and many requests are held at once: they begin one after the other. */
@@ -99,12 +100,12 @@
     void heldRequestsBeginOneAtATime() {
         AdmittedRequest late = request(5000, 20_000);
         gate.held(2);
-        assertThat(gate.judge(late, true, 0).verdict()).isEqualTo(GateVerdict.BEGIN);
-        assertThat(gate.judge(late, true, 241 * MILLI).verdict()).isEqualTo(GateVerdict.HOLD);
-        assertThat(gate.judge(late, true, 242 * MILLI).verdict()).isEqualTo(GateVerdict.BEGIN);
+        assertThat(gate.judge(late, true, 0).verdict()).isEqualTo(StageAdmissionVerdict.BEGIN);
+        assertThat(gate.judge(late, true, 241 * MILLI).verdict()).isEqualTo(StageAdmissionVerdict.HOLD);
+        assertThat(gate.judge(late, true, 242 * MILLI).verdict()).isEqualTo(StageAdmissionVerdict.BEGIN);
         assertThat(gate.judge(late, false, 400 * MILLI).verdict())
                 .as("not before those held")
-                .isEqualTo(GateVerdict.HOLD);
+                .isEqualTo(StageAdmissionVerdict.HOLD);
     }
 
     /**
@@ -115,16 +116,16 @@
     void learnsThatStagesTakeLonger() {
         waitMillis = 740;
         AdmittedRequest request = request(0, 20_000);
-        GateJudgement judgement = gate.judge(request, false, 0);
-        assertThat(judgement.verdict()).isEqualTo(GateVerdict.BEGIN);
+        StageAdmissionDecision judgement = gate.judge(request, false, 0);
+        assertThat(judgement.verdict()).isEqualTo(StageAdmissionVerdict.BEGIN);
         for (int i = 0; i < 30; i++) {
             gate.ran(request.route(), judgement.reckonedNanos(), judgement.reckonedNanos() + 400 * MILLI, 0);
         }
-        assertThat(gate.judge(request, false, 0).verdict()).isEqualTo(GateVerdict.HOLD);
+        assertThat(gate.judge(request, false, 0).verdict()).isEqualTo(StageAdmissionVerdict.HOLD);
         for (int i = 0; i < 30; i++) {
             gate.ran(request.route(), judgement.reckonedNanos(), judgement.reckonedNanos(), 0);
         }
-        assertThat(gate.judge(request, false, 0).verdict()).isEqualTo(GateVerdict.BEGIN);
+        assertThat(gate.judge(request, false, 0).verdict()).isEqualTo(StageAdmissionVerdict.BEGIN);
     }
 
     /**
@@ -133,7 +134,7 @@
      */
     @ParameterizedTest
     @CsvSource({"5000, HOLD", "5001, BEGIN"})
-    void forgetsWhatWasLearnedOnceNothingRuns(long laterMillis, GateVerdict verdict) {
+    void forgetsWhatWasLearnedOnceNothingRuns(long laterMillis, StageAdmissionVerdict verdict) {
         waitMillis = 740;
         AdmittedRequest request = request(0, 20_000);
         long reckoned = gate.judge(request, false, 0).reckonedNanos();
@@ -155,15 +156,15 @@
         for (int i = 0; i < 100; i++) {
             gate.ran(request.route(), reckoned, reckoned + 60_000 * MILLI, 0);
         }
-        assertThat(gate.judge(request(1500, 20_000), false, 0).verdict()).isEqualTo(GateVerdict.BEGIN);
+        assertThat(gate.judge(request(1500, 20_000), false, 0).verdict()).isEqualTo(StageAdmissionVerdict.BEGIN);
     }
 
     @Test
     void refusesBeyondTheMostThatAreHeld() {
         waitMillis = 1600;
         gate.held(32);
-        assertThat(gate.judge(request(0, 20_000), false, 0).verdict()).isEqualTo(GateVerdict.REFUSE);
-        assertThat(gate.judge(request(0, 20_000), true, 0).verdict()).isEqualTo(GateVerdict.HOLD);
+        assertThat(gate.judge(request(0, 20_000), false, 0).verdict()).isEqualTo(StageAdmissionVerdict.REFUSE);
+        assertThat(gate.judge(request(0, 20_000), true, 0).verdict()).isEqualTo(StageAdmissionVerdict.HOLD);
     }
 
     private PoolLoad load(String pool) {
--- a/library/src/test/java/org/copperspindle/gateway/StageLoadReplay.java
+++ b/library/src/test/java/org/copperspindle/gateway/StageLoadReplay.java
@@ -17,8 +17,8 @@
 import org.copperspindle.batch.MissReason;
 import org.copperspindle.batch.PoolLoad;
 import org.copperspindle.discovery.UpstreamDirectory;
-import org.copperspindle.discovery.UpstreamNews;
 import org.copperspindle.discovery.UpstreamPhase;
+import org.copperspindle.discovery.UpstreamRecord;
 import org.copperspindle.route.BatchLimits;
 import org.copperspindle.route.Route;
 import org.copperspindle.route.RouteKind;
@@ -55,11 +55,11 @@
     private final double stretch;
     private final double load;
     private final SplittableRandom random;
-    private final ReturnTimes returns;
+    private final RetryAfterDelays returns;
     private final LoneBatches lone;
     private final BatchService batches;
-    private final FirstEventTimes firstEvents = new FirstEventTimes();
-    private final StageGate gate;
+    private final FirstEventLatencies firstEvents = new FirstEventLatencies();
+    private final StageAdmission gate;
     private final RouteTable table;
     private final Map<String, Score> scores = new TreeMap<>();
     private final SimulatedStages stages;
@@ -81,7 +81,7 @@
         this.stretch = stretch;
         this.load = load;
         this.random = new SplittableRandom(seed);
-        this.returns = new ReturnTimes(random);
+        this.returns = new RetryAfterDelays(random);
         asked.pools().forEach(this::pool);
         this.kinds = asked.kinds().stream().map(this::kind).toList();
         List<UpstreamPool> pools = new ArrayList<>(List.of(TestRoutes.pool("engines")));
@@ -91,7 +91,7 @@
         this.stages = new SimulatedStages(time, limits, sizes);
         this.lone = new LoneBatches(time, directory, stages, limits);
         this.batches = lone.service();
-        this.gate = new StageGate(this::toldLoad, firstEvents);
+        this.gate = new StageAdmission(this::toldLoad, firstEvents);
     }
 
     /** Returns what a gate knows of a pool: a node that does not pack its calls hears of loads and promises now and then. */
@@ -176,7 +176,7 @@
         for (int i = 0; i < pool.upstreams(); i++) {
             String address = "10.0." + limits.size() + "." + i + ":1";
             directory.accept(
-                    new UpstreamNews(
+                    new UpstreamRecord(
                             name + i, 0, name, address, "d" + i % asked.domains(), UpstreamPhase.READY, 1, 1, 0, 0),
                     0);
         }
@@ -282,14 +282,14 @@
 
         private void passGate() {
             long now = time.nanoTime();
-            GateJudgement judgement = gate.judge(admitted, held, now);
-            if (judgement.verdict() == GateVerdict.HOLD) {
+            StageAdmissionDecision judgement = gate.judge(admitted, held, now);
+            if (judgement.verdict() == StageAdmissionVerdict.HOLD) {
                 hold(true);
                 time.schedule(LOOK_NANOS, this::passGate);
                 return;
             }
             hold(false);
-            if (judgement.verdict() == GateVerdict.BEGIN) {
+            if (judgement.verdict() == StageAdmissionVerdict.BEGIN) {
                 begunAt = now;
                 reckoned = judgement.reckonedNanos();
                 run = new StageRun(admitted, Optional.of(domain), firstEvents.nanos(kind.route()), batches, time, this);
--- a/library/src/test/java/org/copperspindle/gateway/StageRunTest.java
+++ b/library/src/test/java/org/copperspindle/gateway/StageRunTest.java
@@ -10,8 +10,8 @@
 
 import org.copperspindle.batch.MissReason;
 import org.copperspindle.discovery.UpstreamDirectory;
-import org.copperspindle.discovery.UpstreamNews;
 import org.copperspindle.discovery.UpstreamPhase;
+import org.copperspindle.discovery.UpstreamRecord;
 import org.copperspindle.route.BatchLimits;
 import org.copperspindle.route.Route;
 import org.copperspindle.route.RouteKind;
@@ -47,7 +47,7 @@
         for (String pool : POOLS) {
             limits.put(pool, call(pool.equals("long") ? 400 : 100));
             directory.accept(
-                    new UpstreamNews(
+                    new UpstreamRecord(
                             pool, 0, pool, "10.0.0." + limits.size() + ":1", "d", UpstreamPhase.READY, 1, 1, 0, 0),
                     0);
         }
--- a/library/src/test/java/org/copperspindle/gateway/UpstreamChooserTest.java
+++ b/library/src/test/java/org/copperspindle/gateway/UpstreamChooserTest.java
@@ -12,16 +12,16 @@
 import java.util.Set;
 import java.util.stream.IntStream;
 
+import org.copperspindle.backpressure.BackoffSignal;
 import org.copperspindle.backpressure.LimitSignal;
 import org.copperspindle.backpressure.PermitResult;
-import org.copperspindle.backpressure.RestSignal;
 import org.copperspindle.backpressure.SendPermits;
+import org.copperspindle.backpressure.UpstreamBackoffs;
 import org.copperspindle.backpressure.UpstreamLimits;
-import org.copperspindle.backpressure.UpstreamRests;
 import org.copperspindle.coldstart.SenderSetAdmission;
 import org.copperspindle.discovery.UpstreamDirectory;
-import org.copperspindle.discovery.UpstreamNews;
 import org.copperspindle.discovery.UpstreamPhase;
+import org.copperspindle.discovery.UpstreamRecord;
 import org.copperspindle.measure.DecisionLog;
 import org.copperspindle.route.ColdLimits;
 import org.copperspindle.route.UpstreamPool;
@@ -42,7 +42,7 @@
     private final UpstreamTracker tracker = new UpstreamTracker();
     private final SenderSetAdmission cold = new SenderSetAdmission("n0", List::of, () -> false);
     private final UpstreamLimits limits = new UpstreamLimits(directory, new DecisionLog(0, 0));
-    private final UpstreamRests rests = new UpstreamRests(directory, new DecisionLog(0, 0));
+    private final UpstreamBackoffs rests = new UpstreamBackoffs(directory, new DecisionLog(0, 0));
     private final SendPermits permits = LonePermits.of(limits, time);
     private final UpstreamChooser chooser =
             new UpstreamChooser(directory, tracker, cold, permits, rests, new Random(3), "d0");
@@ -115,7 +115,7 @@
         permits.requestPermit(home, 0, result -> assertThat(result).isInstanceOf(PermitResult.Denied.class));
         assertThat(choose("part", 500, 0).id()).isNotEqualTo(home);
         assertThat(chooser.soonestLimited(COLD_ENGINES, Set.of(), 0))
-                .map(UpstreamNews::id)
+                .map(UpstreamRecord::id)
                 .contains(home);
     }
 
@@ -124,7 +124,7 @@
     void needOfAllEnginesIsKnownBeforeTheStages() {
         assertThat(chooser.soonestBeyond(COLD_ENGINES, Set.of(), -1, 0)).isEmpty();
         for (int i = 0; i < 9; i++) {
-            rests.onResponse("e" + i, new RestSignal.Asked(Duration.ofSeconds(3 + i)), false, 0);
+            rests.onResponse("e" + i, new BackoffSignal.Asked(Duration.ofSeconds(3 + i)), false, 0);
         }
         assertThat(chooser.soonestBeyond(COLD_ENGINES, Set.of(), 2_000_000_000L, 0))
                 .hasValue(3_000_000_000L);
@@ -145,18 +145,18 @@
     }
 
     private void announceCold(String id, long coldMillis) {
-        UpstreamNews known = directory.find(id).orElseThrow();
+        UpstreamRecord known = directory.find(id).orElseThrow();
         directory.accept(
-                new UpstreamNews(
+                new UpstreamRecord(
                         id, 0, "p", known.address(), known.failureDomain(), UpstreamPhase.READY, 1, 2, 0, coldMillis),
                 0);
     }
 
-    private UpstreamNews choose(String part, int sharedTokens, int results) {
+    private UpstreamRecord choose(String part, int sharedTokens, int results) {
         return find(part, sharedTokens, results).orElseThrow();
     }
 
-    private Optional<UpstreamNews> find(String part, int sharedTokens, int results) {
+    private Optional<UpstreamRecord> find(String part, int sharedTokens, int results) {
         GatewayRequest request = TestRequests.request(
                 "id",
                 OptionalLong.empty(),
@@ -168,6 +168,6 @@
     }
 
     private void announce(String id, String pool, String address, String domain) {
-        directory.accept(new UpstreamNews(id, 0, pool, address, domain, UpstreamPhase.READY, 1, 1, 0, 0), 0);
+        directory.accept(new UpstreamRecord(id, 0, pool, address, domain, UpstreamPhase.READY, 1, 1, 0, 0), 0);
     }
 }
--- a/library/src/test/java/org/copperspindle/gateway/UrgentRoomTest.java
+++ b/library/src/test/java/org/copperspindle/gateway/UrgentRoomTest.java
@@ -32,8 +32,8 @@
     private static final long MILLI = 1_000_000L;
 
     private final Map<String, Long> waitMillis = new HashMap<>();
-    private final StageGate gate = new StageGate(
-            pool -> new PoolLoad(waitMillis.getOrDefault(pool, 0L) * MILLI, 400, 0), new FirstEventTimes());
+    private final StageAdmission gate = new StageAdmission(
+            pool -> new PoolLoad(waitMillis.getOrDefault(pool, 0L) * MILLI, 400, 0), new FirstEventLatencies());
 
     /**
      * Callers of descriptions were refused while tags were let in. At a wait of 440 ms the next description has 20 ms to spare,
@@ -41,7 +41,8 @@
      */
     @ParameterizedTest
     @CsvSource({"100, BEGIN, BEGIN", "400, BEGIN, BEGIN", "440, HOLD, BEGIN", "600, HOLD, HOLD"})
-    void lessUrgentKindLeavesRoomInASharedPool(long wait, GateVerdict tag, GateVerdict description) {
+    void lessUrgentKindLeavesRoomInASharedPool(
+            long wait, StageAdmissionVerdict tag, StageAdmissionVerdict description) {
         waitMillis.put("shared", wait);
         gate.judge(request("description", 1, 1000, 0, "shared"), false, 0);
         assertThat(gate.judge(request("tag", 2, 3000, 0, "shared"), false, 0).verdict())
@@ -58,7 +59,7 @@
         waitMillis.put("shared", 100L);
         gate.judge(request("description", 1, 1000, 0, "shared", "own"), false, 0);
         assertThat(gate.judge(request("tag", 2, 3000, 0, "shared"), false, 0).verdict())
-                .isEqualTo(GateVerdict.BEGIN);
+                .isEqualTo(StageAdmissionVerdict.BEGIN);
     }
 
     /** Descriptions could not be in time if nothing waited: room that is kept for them would serve nobody. */
@@ -67,7 +68,7 @@
         waitMillis.put("shared", 600L);
         gate.judge(request("description", 1, 300, 0, "shared"), false, 0);
         assertThat(gate.judge(request("tag", 2, 3000, 0, "shared"), false, 0).verdict())
-                .isEqualTo(GateVerdict.BEGIN);
+                .isEqualTo(StageAdmissionVerdict.BEGIN);
     }
 
     /**
@@ -86,13 +87,13 @@
                 0);
         assertThat(gate.judge(request("description", 1, 3000, 0, "shared"), false, 0)
                         .verdict())
-                .isEqualTo(GateVerdict.BEGIN);
+                .isEqualTo(StageAdmissionVerdict.BEGIN);
     }
 
     /** Nobody has asked for the urgent kind for a while: no room is kept for it. */
     @ParameterizedTest
     @CsvSource({"5000, HOLD", "5001, BEGIN"})
-    void roomIsKeptForWhatIsAskedFor(long laterMillis, GateVerdict verdict) {
+    void roomIsKeptForWhatIsAskedFor(long laterMillis, StageAdmissionVerdict verdict) {
         waitMillis.put("shared", 600L);
         gate.judge(request("description", 1, 1000, 0, "shared"), false, 0);
         long now = laterMillis * MILLI;
--- a/library/src/test/java/org/copperspindle/mesh/CutOffWatchTest.java
+++ b/library/src/test/java/org/copperspindle/mesh/IsolationDetectorTest.java
@@ -7,13 +7,13 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class CutOffWatchTest {
+class IsolationDetectorTest {
 
     private static final long SECOND = 1_000_000_000L;
 
     private final VirtualTimerService time = new VirtualTimerService();
     private int connected;
-    private final CutOffWatch watch = new CutOffWatch(() -> connected, time);
+    private final IsolationDetector watch = new IsolationDetector(() -> connected, time);
 
     /**
      * A node loses connections to others at once. Where nearly all are gone, it is the one that is cut off: it refuses work
--- a/library/src/test/java/org/copperspindle/quarantine/QuarantineFleet.java
+++ b/library/src/test/java/org/copperspindle/quarantine/QuarantineFleet.java
@@ -20,8 +20,8 @@
 import io.netty.channel.nio.NioIoHandler;
 import org.copperspindle.direct.ListenState;
 import org.copperspindle.discovery.UpstreamDirectory;
-import org.copperspindle.discovery.UpstreamNews;
 import org.copperspindle.discovery.UpstreamPhase;
+import org.copperspindle.discovery.UpstreamRecord;
 import org.copperspindle.measure.DecisionLog;
 import org.copperspindle.mesh.MeshSettings;
 import org.copperspindle.mesh.NodeHelloMessage;
@@ -51,7 +51,7 @@
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final List<Node> nodes = new ArrayList<>();
     private final Map<Set<Integer>, Boolean> links = new HashMap<>();
-    private final Map<Integer, UpstreamNews> upstreams = new HashMap<>();
+    private final Map<Integer, UpstreamRecord> upstreams = new HashMap<>();
     private final Set<String> silent = new HashSet<>();
     private int ended;
 
@@ -68,9 +68,9 @@
     }
 
     /** Describes a request of one account by its body. */
-    static WatchedRequest request(String body) {
+    static TrackedRequest request(String body) {
         RequestDigest digest = RequestDigest.of("t", "POST", "h", "/r/x", body.getBytes(StandardCharsets.UTF_8));
-        return new WatchedRequest("id-" + body, "r", "t", POOL, () -> digest);
+        return new TrackedRequest("id-" + body, "r", "t", POOL, () -> digest);
     }
 
     /** Adds an upstream that every node knows, at an address of its own; returns its number. */
@@ -87,7 +87,7 @@
 
     /** Has every node hear of one life of an upstream that tells when it began. */
     void announce(int number, String id, long incarnation, UpstreamPhase phase) {
-        UpstreamNews news = new UpstreamNews(id, incarnation, POOL, address(number), "d", phase, 4, 1, 0, 0);
+        UpstreamRecord news = new UpstreamRecord(id, incarnation, POOL, address(number), "d", phase, 4, 1, 0, 0);
         upstreams.put(number, news);
         nodes.forEach(node -> node.directory.accept(news, time.nanoTime()));
     }
@@ -97,11 +97,11 @@
         silent.add(address(number));
     }
 
-    UpstreamRun send(int node, WatchedRequest request, int upstream) {
+    UpstreamRun send(int node, TrackedRequest request, int upstream) {
         return send(node, request, upstream, Optional.empty());
     }
 
-    UpstreamRun send(int node, WatchedRequest request, int upstream, Optional<UpstreamRun> previous) {
+    UpstreamRun send(int node, TrackedRequest request, int upstream, Optional<UpstreamRun> previous) {
         return quarantine(node).startRun(request, upstreams.get(upstream), previous);
     }
 
@@ -124,7 +124,7 @@
     }
 
     /** Sends a request to a new upstream, which ends under it, unless it is held off; returns whether it was sent. */
-    boolean endsOne(int node, WatchedRequest request) {
+    boolean endsOne(int node, TrackedRequest request) {
         if (quarantine(node).isQuarantined(request)) {
             return false;
         }
@@ -135,7 +135,7 @@
     }
 
     /** Has a request run to its end. */
-    void serve(int node, WatchedRequest request) {
+    void serve(int node, TrackedRequest request) {
         quarantine(node).onSurvived(send(node, request, addUpstream()));
     }
 
@@ -143,11 +143,11 @@
         return nodes.get(node).quarantine;
     }
 
-    boolean isHeldAnywhere(WatchedRequest request) {
+    boolean isHeldAnywhere(TrackedRequest request) {
         return nodes.stream().anyMatch(node -> node.quarantine.isQuarantined(request));
     }
 
-    boolean isHeldEverywhere(WatchedRequest request) {
+    boolean isHeldEverywhere(TrackedRequest request) {
         return nodes.stream().allMatch(node -> node.quarantine.isQuarantined(request));
     }
 
--- a/library/src/test/java/org/copperspindle/quarantine/RequestQuarantineTest.java
+++ b/library/src/test/java/org/copperspindle/quarantine/RequestQuarantineTest.java
@@ -24,8 +24,8 @@
 
     private static final int NODES = 5;
     private static final int ENDS = 3;
-    private static final WatchedRequest GUILTY = QuarantineFleet.request("guilty");
-    private static final WatchedRequest POPULAR = QuarantineFleet.request("popular");
+    private static final TrackedRequest GUILTY = QuarantineFleet.request("guilty");
+    private static final TrackedRequest POPULAR = QuarantineFleet.request("popular");
 
     private final QuarantineFleet fleet = new QuarantineFleet(NODES);
 
@@ -83,7 +83,7 @@
             runs.put(fleet.send(i, GUILTY, upstream), i);
             for (int neighbour = 0; neighbour < 30; neighbour++) {
                 int node = neighbour % NODES;
-                WatchedRequest request = QuarantineFleet.request("neighbour-" + i + '-' + neighbour);
+                TrackedRequest request = QuarantineFleet.request("neighbour-" + i + '-' + neighbour);
                 runs.put(fleet.send(node, request, upstream), node);
                 fleet.serve(node, QuarantineFleet.request("served-" + i + '-' + neighbour));
             }
@@ -91,7 +91,7 @@
             fleet.settle();
         }
         assertThat(fleet.quarantine(0).quarantined())
-                .extracting(HeldRequest::digest)
+                .extracting(QuarantinedRequest::digest)
                 .containsExactly(GUILTY.digest().text());
     }
 
@@ -228,7 +228,7 @@
     /** Two guilty requests at once, beside others that are served, are each held off after three ends. */
     @Test
     void twoGuiltyRequestsAtOnce() {
-        WatchedRequest second = QuarantineFleet.request("second");
+        TrackedRequest second = QuarantineFleet.request("second");
         int ended = 0;
         for (int i = 0; i < 20; i++) {
             for (int k = 0; k < 5; k++) {
@@ -429,7 +429,7 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20})
     void boundsHoldUnderDisturbances(long seed) {
         Random random = new Random(seed);
-        List<WatchedRequest> guilty = List.of(GUILTY, QuarantineFleet.request("second"));
+        List<TrackedRequest> guilty = List.of(GUILTY, QuarantineFleet.request("second"));
         int[] ends = new int[guilty.size()];
         for (int step = 0; step < 600; step++) {
             fleet.advance(Duration.ofMillis(80));
@@ -443,7 +443,7 @@
                 }
                 case 3 -> {
                     int upstream = fleet.addUpstream();
-                    WatchedRequest bystander = QuarantineFleet.request("bystander-" + step);
+                    TrackedRequest bystander = QuarantineFleet.request("bystander-" + step);
                     fleet.end(
                             upstream,
                             Map.of(fleet.send(node, bystander, upstream), node, fleet.send(0, POPULAR, upstream), 0));
@@ -462,7 +462,7 @@
         }
         for (int node = 0; node < NODES; node++) {
             assertThat(fleet.quarantine(node).quarantined())
-                    .extracting(HeldRequest::digest)
+                    .extracting(QuarantinedRequest::digest)
                     .as("held off at " + node)
                     .containsExactlyInAnyOrderElementsOf(
                             guilty.stream().map(each -> each.digest().text()).toList());
--- a/tools/src/test/java/org/copperspindle/cli/EvacuateCommandTest.java
+++ b/tools/src/test/java/org/copperspindle/cli/EvacuateCommandTest.java
@@ -14,7 +14,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * What an operator sees of evacuations, from a node that answers as {@code EvacuationCalls} does.
+ * What an operator sees of evacuations, from a node that answers as {@code EvacuationEndpoint} does.
  */
 class EvacuateCommandTest {
 
--- a/tools/src/test/java/org/copperspindle/cli/HeldCommandTest.java
+++ b/tools/src/test/java/org/copperspindle/cli/HeldCommandTest.java
@@ -12,7 +12,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * What an operator sees of requests that are held off, from a node that answers as {@code HeldRequestCalls} does.
+ * What an operator sees of requests that are held off, from a node that answers as {@code QuarantinedRequestsEndpoint} does.
  */
 class HeldCommandTest {
 
