--- a/library/src/main/java/org/copperspindle/consensus/ConsensusSettings.java
+++ b/library/src/main/java/org/copperspindle/consensus/ConsensusSettings.java
@@ -24,7 +24,7 @@
         String name,
         InetSocketAddress address,
         InetSocketAddress operators,
-        VoterRoster roster,
+        VoterSource roster,
         boolean wholeTexts,
         Path dataFolder,
         Duration electionTimeout) {
@@ -48,7 +48,7 @@
             List<VoterAddress> voters,
             Path dataFolder,
             Duration electionTimeout) {
-        this(group, name, address, operators, VoterRoster.fixedVoters(voters), false, dataFolder, electionTimeout);
+        this(group, name, address, operators, VoterSource.fixedVoters(voters), false, dataFolder, electionTimeout);
     }
 
     RaftLimits limits() {
--- a/library/src/main/java/org/copperspindle/consensus/RaftSettings.java
+++ b/library/src/main/java/org/copperspindle/consensus/RaftSettings.java
@@ -23,7 +23,7 @@
         String address,
         String operators,
         Supplier<List<Voter>> known,
-        VoterRoster roster,
+        VoterSource roster,
         RaftTiming timing,
         RaftLimits limits) {
 
@@ -40,7 +40,7 @@
             String name,
             String address,
             String operators,
-            VoterRoster roster,
+            VoterSource roster,
             RaftTiming timing,
             RaftLimits limits) {
         this(groupName, name, address, operators, () -> voters(roster), roster, timing, limits);
@@ -54,7 +54,7 @@
             List<Voter> voters,
             RaftTiming timing,
             RaftLimits limits) {
-        this(groupName, name, address, operators, () -> voters, VoterRoster.fixedVoters(List.of()), timing, limits);
+        this(groupName, name, address, operators, () -> voters, VoterSource.fixedVoters(List.of()), timing, limits);
     }
 
     List<Voter> voters() {
@@ -78,7 +78,7 @@
         return String.join(",", voters().stream().map(Voter::name).toList());
     }
 
-    private static List<Voter> voters(VoterRoster roster) {
+    private static List<Voter> voters(VoterSource roster) {
         return roster.voters().stream()
                 .map(v -> new Voter(v.name(), NumericAddress.format(v.address())))
                 .toList();
--- a/library/src/main/java/org/copperspindle/consensus/VoterRoster.java
+++ b/library/src/main/java/org/copperspindle/consensus/VoterSource.java
@@ -6,7 +6,7 @@
  * Which members a group should have. Either the operator names them, or the members that are found are taken as they
  * come and go. Asked on the decision ring.
  */
-public interface VoterRoster {
+public interface VoterSource {
 
     /**
      * Returns the voters that are wanted, or known.
@@ -43,9 +43,9 @@
      * @param voters the voters, in the same order on all members
      * @return a roster that never changes
      */
-    static VoterRoster fixedVoters(List<VoterAddress> voters) {
+    static VoterSource fixedVoters(List<VoterAddress> voters) {
         List<VoterAddress> fixed = List.copyOf(voters);
-        return new VoterRoster() {
+        return new VoterSource() {
             @Override
             public List<VoterAddress> voters() {
                 return fixed;
--- a/library/src/main/java/org/copperspindle/dialect/EvacuationEndpoint.java
+++ b/library/src/main/java/org/copperspindle/dialect/EvacuationEndpoint.java
@@ -9,12 +9,12 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.copperspindle.dialect.ControlFormat.ControlCall;
-import org.copperspindle.edition.EvacuationCommand;
-import org.copperspindle.edition.EvacuationsMessage;
 import org.copperspindle.gateway.ControlResponse;
 import org.copperspindle.gateway.EvacuationRequestHandler;
 import org.copperspindle.http.HttpExchange;
 import org.copperspindle.http.HttpRequestHandler;
+import org.copperspindle.version.EvacuationCommand;
+import org.copperspindle.version.EvacuationsMessage;
 
 /**
  * An operator's calls on evacuated failure domains. The project's own are there on every deployment: {@code GET} of {@value #PATH} lists
--- a/library/src/main/java/org/copperspindle/gateway/ControlRequestHandler.java
+++ b/library/src/main/java/org/copperspindle/gateway/ControlRequestHandler.java
@@ -9,14 +9,14 @@
 import org.apache.logging.log4j.Logger;
 import org.copperspindle.discovery.DirectoryGossip;
 import org.copperspindle.discovery.UpstreamRecord;
-import org.copperspindle.edition.EditionMember;
-import org.copperspindle.edition.EditionMessage;
 import org.copperspindle.quarantine.QuarantinedRequest;
 import org.copperspindle.quarantine.RequestDigest;
 import org.copperspindle.quarantine.RequestQuarantine;
 import org.copperspindle.route.RouteTable;
 import org.copperspindle.route.RouteTableReader;
 import org.copperspindle.route.RouteTableResult;
+import org.copperspindle.version.VersionMember;
+import org.copperspindle.version.VersionMessage;
 
 /**
  * What operators and upstreams may ask of a node. Network thread only; answers come on it.
@@ -122,7 +122,7 @@
             LOGGER.info("event=version-refused bytes={} problem=\"{}\"", text.length, invalid.problem());
             answer.accept(new ControlResponse.Invalid(invalid.problem()));
         } else if (result instanceof RouteTableResult.Valid valid) {
-            EditionMessage edition = new EditionMessage(valid.table().version(), text);
+            VersionMessage edition = new VersionMessage(valid.table().version(), text);
             group.ask((member, ended) -> member.put(edition, ended), ended -> {
                 LOGGER.info(
                         "event=version-asked version={} bytes={} result={}",
@@ -149,7 +149,7 @@
      * @param answer told the text
      */
     public void read(Consumer<ControlResponse> answer) {
-        group.ask(EditionMember::read, answer);
+        group.ask(VersionMember::read, answer);
     }
 
     private static String describe(ControlResponse result) {
--- a/library/src/main/java/org/copperspindle/gateway/EvacuationRequestHandler.java
+++ b/library/src/main/java/org/copperspindle/gateway/EvacuationRequestHandler.java
@@ -5,8 +5,8 @@
 
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
-import org.copperspindle.edition.EvacuationCommand;
-import org.copperspindle.edition.EvacuationsMessage;
+import org.copperspindle.version.EvacuationCommand;
+import org.copperspindle.version.EvacuationsMessage;
 
 /**
  * What operators may ask of a node about the evacuation of failure domains. Network thread only; answers come on it.
--- a/library/src/main/java/org/copperspindle/gateway/GatewayMessages.java
+++ b/library/src/main/java/org/copperspindle/gateway/GatewayMessages.java
@@ -11,14 +11,14 @@
 import org.copperspindle.batch.PoolLoadMessage;
 import org.copperspindle.consensus.ConsensusLog;
 import org.copperspindle.discovery.UpstreamRecordsMessage;
-import org.copperspindle.edition.EditionLeaseAskMessage;
-import org.copperspindle.edition.EditionLeaseMessage;
-import org.copperspindle.edition.EditionMessage;
-import org.copperspindle.edition.EvacuationsMessage;
 import org.copperspindle.mesh.NodeHelloMessage;
 import org.copperspindle.mesh.NodeListMessage;
 import org.copperspindle.mesh.RelayMessage;
 import org.copperspindle.quarantine.SuspicionMessage;
+import org.copperspindle.version.EvacuationsMessage;
+import org.copperspindle.version.VersionLeaseRequestMessage;
+import org.copperspindle.version.VersionLeaseResponseMessage;
+import org.copperspindle.version.VersionMessage;
 import org.copperspindle.wire.MessageRegistry;
 import org.copperspindle.wire.WireTransport;
 
@@ -34,10 +34,10 @@
                 .register(NodeHelloMessage.CODEC)
                 .register(NodeListMessage.CODEC)
                 .register(RelayMessage.CODEC)
-                .register(EditionMessage.CODEC)
+                .register(VersionMessage.CODEC)
                 .register(EvacuationsMessage.CODEC)
-                .register(EditionLeaseAskMessage.CODEC)
-                .register(EditionLeaseMessage.CODEC)
+                .register(VersionLeaseRequestMessage.CODEC)
+                .register(VersionLeaseResponseMessage.CODEC)
                 .register(UpstreamRecordsMessage.CODEC)
                 .register(SuspicionMessage.CODEC)
                 .register(LimitRecordsMessage.CODEC)
--- a/library/src/main/java/org/copperspindle/gateway/GatewayNode.java
+++ b/library/src/main/java/org/copperspindle/gateway/GatewayNode.java
@@ -35,9 +35,6 @@
 import org.copperspindle.discovery.UpstreamDirectory;
 import org.copperspindle.discovery.UpstreamPhase;
 import org.copperspindle.discovery.UpstreamRecord;
-import org.copperspindle.edition.EditionExchange;
-import org.copperspindle.edition.EditionHolder;
-import org.copperspindle.edition.MeshRoster;
 import org.copperspindle.http.HttpExchange;
 import org.copperspindle.http.HttpLimits;
 import org.copperspindle.http.HttpListener;
@@ -57,6 +54,9 @@
 import org.copperspindle.time.LoopTimerService;
 import org.copperspindle.time.SuspensionWatch;
 import org.copperspindle.time.TimerService;
+import org.copperspindle.version.VersionExchange;
+import org.copperspindle.version.VersionHolder;
+import org.copperspindle.version.VoterDiscovery;
 import org.copperspindle.wire.GreetingMessage;
 import org.copperspindle.wire.MessageRegistry;
 import org.copperspindle.wire.NumericAddress;
@@ -106,8 +106,8 @@
     private final UpstreamDirectory directory = new UpstreamDirectory();
     private final IsolationDetector cutOff;
     private final DirectoryGossip gossip;
-    private final EditionExchange exchange;
-    private final EditionHolder holder;
+    private final VersionExchange exchange;
+    private final VersionHolder holder;
     private final BatchService batches;
     private final OpenRequests open = new OpenRequests();
     private final GatewayService service;
@@ -144,10 +144,10 @@
         this.mesh = new NodeMesh(meshSettings, transport, timers, this::hello);
         this.cutOff = new IsolationDetector(mesh::count, timers);
         this.gossip = new DirectoryGossip(mesh, timers, directory);
-        this.exchange = new EditionExchange(mesh, timers, loop);
+        this.exchange = new VersionExchange(mesh, timers, loop);
         Duration lease = Duration.ofNanos((long) (settings.revocation().toNanos() * LEASE_SHARE));
         this.holder =
-                new EditionHolder(timers, dialects.tableReader(), lease, new SuspensionWatch(), exchange::requestLease);
+                new VersionHolder(timers, dialects.tableReader(), lease, new SuspensionWatch(), exchange::requestLease);
         exchange.holder(holder);
         DecisionLog log = new DecisionLog(SERVED_LINES, FAILED_LINES);
         DirectClient client = new DirectClient(
@@ -355,7 +355,7 @@
     }
 
     private void keepMember(Path folder) {
-        MeshRoster roster = new MeshRoster(mesh, timers, settings.firstStart(), settings.toleratedLosses());
+        VoterDiscovery roster = new VoterDiscovery(mesh, timers, settings.firstStart(), settings.toleratedLosses());
         mesh.subscribe(roster);
         Supplier<WireTransport> transports = () -> new WireTransport(group, registry, greeting, MeshSettings.LIMITS);
         member = Optional.of(new GroupMember(settings, folder, roster, exchange, transports, loop));
--- a/library/src/main/java/org/copperspindle/gateway/GroupMember.java
+++ b/library/src/main/java/org/copperspindle/gateway/GroupMember.java
@@ -7,15 +7,15 @@
 
 import org.copperspindle.consensus.ConsensusSettings;
 import org.copperspindle.core.DecisionRing;
-import org.copperspindle.edition.EditionExchange;
-import org.copperspindle.edition.EditionMessage;
-import org.copperspindle.edition.EditionObserver;
-import org.copperspindle.edition.EvacuationsMessage;
-import org.copperspindle.edition.MemberKeeper;
-import org.copperspindle.edition.MemberStatus;
-import org.copperspindle.edition.MeshRoster;
 import org.copperspindle.time.SystemTimerService;
 import org.copperspindle.time.TimerService;
+import org.copperspindle.version.EvacuationsMessage;
+import org.copperspindle.version.MemberStatus;
+import org.copperspindle.version.MemberSupervisor;
+import org.copperspindle.version.VersionExchange;
+import org.copperspindle.version.VersionMessage;
+import org.copperspindle.version.VersionObserver;
+import org.copperspindle.version.VoterDiscovery;
 import org.copperspindle.wire.NumericAddress;
 import org.copperspindle.wire.WireTransport;
 
@@ -35,10 +35,10 @@
     static final Duration ELECTION_TIMEOUT = Duration.ofMillis(1000);
 
     private final DecisionRing decisions = new DecisionRing("decisions", DecisionRing.DEFAULT_SLOTS);
-    private final EditionExchange exchange;
+    private final VersionExchange exchange;
     private final Executor network;
     private final NodeMemberOpener opener;
-    private final MemberKeeper keeper;
+    private final MemberSupervisor keeper;
     private volatile boolean grouped;
 
     /**
@@ -54,8 +54,8 @@
     GroupMember(
             GatewaySettings settings,
             Path folder,
-            MeshRoster roster,
-            EditionExchange exchange,
+            VoterDiscovery roster,
+            VersionExchange exchange,
             Supplier<WireTransport> transports,
             Executor network) {
         this.exchange = exchange;
@@ -64,7 +64,7 @@
         ConsensusSettings consensus = new ConsensusSettings(
                 NAME,
                 NumericAddress.format(settings.mesh()),
-                MeshRoster.memberAddress(settings.mesh()),
+                VoterDiscovery.memberAddress(settings.mesh()),
                 settings.control(),
                 roster,
                 true,
@@ -75,10 +75,10 @@
                 timers,
                 transports,
                 consensus,
-                MeshRoster.memberAddress(settings.meshBind().orElse(settings.mesh())),
+                VoterDiscovery.memberAddress(settings.meshBind().orElse(settings.mesh())),
                 new Recorded(),
                 this::status);
-        this.keeper = new MemberKeeper(timers, opener, opened -> network.execute(() -> exchange.member(opened)));
+        this.keeper = new MemberSupervisor(timers, opener, opened -> network.execute(() -> exchange.member(opened)));
         decisions.execute(keeper::start);
     }
 
@@ -100,9 +100,9 @@
     }
 
     /** Hands on what the member has recorded. */
-    private final class Recorded implements EditionObserver {
+    private final class Recorded implements VersionObserver {
         @Override
-        public void onVersion(EditionMessage edition) {
+        public void onVersion(VersionMessage edition) {
             grouped = true;
             network.execute(() -> exchange.recorded(edition));
         }
--- a/library/src/main/java/org/copperspindle/gateway/GroupQuestions.java
+++ b/library/src/main/java/org/copperspindle/gateway/GroupQuestions.java
@@ -4,10 +4,10 @@
 import java.util.concurrent.Executor;
 import java.util.function.Consumer;
 
-import org.copperspindle.edition.EditionExchange;
-import org.copperspindle.edition.EditionMember;
-import org.copperspindle.edition.EditionMessage;
-import org.copperspindle.edition.EditionResult;
+import org.copperspindle.version.VersionExchange;
+import org.copperspindle.version.VersionMember;
+import org.copperspindle.version.VersionMessage;
+import org.copperspindle.version.VersionResult;
 
 /**
  * Takes questions of operators to this node's member of the control group if it leads, and says who leads if it does not. Network
@@ -15,10 +15,10 @@
  */
 final class GroupQuestions {
 
-    private final EditionExchange editions;
+    private final VersionExchange editions;
     private final Executor network;
 
-    GroupQuestions(EditionExchange editions, Executor network) {
+    GroupQuestions(VersionExchange editions, Executor network) {
         this.editions = editions;
         this.network = network;
     }
@@ -30,7 +30,7 @@
      * @param answer   told how it ended
      */
     void ask(Question question, Consumer<ControlResponse> answer) {
-        Optional<EditionMember> member = editions.member();
+        Optional<VersionMember> member = editions.member();
         if (member.isPresent() && editions.status().leads()) {
             question.put(member.get(), ended -> network.execute(() -> answer.accept(translate(ended))));
         } else {
@@ -38,15 +38,15 @@
         }
     }
 
-    private ControlResponse translate(EditionResult result) {
-        if (result instanceof EditionResult.Recorded recorded) {
+    private ControlResponse translate(VersionResult result) {
+        if (result instanceof VersionResult.Recorded recorded) {
             return new ControlResponse.Recorded(
-                    recorded.held().version(), recorded.held().newestVersion().map(EditionMessage::text));
+                    recorded.held().version(), recorded.held().newestVersion().map(VersionMessage::text));
         }
-        if (result instanceof EditionResult.Refused refused) {
+        if (result instanceof VersionResult.Refused refused) {
             return new ControlResponse.Invalid(refused.reason());
         }
-        if (result instanceof EditionResult.NotLeading) {
+        if (result instanceof VersionResult.NotLeading) {
             return elsewhere();
         }
         return new ControlResponse.Unavailable("the leader changed meanwhile; the outcome is not known");
@@ -67,6 +67,6 @@
          * @param member the member
          * @param ended  told the result, on the member's own thread
          */
-        void put(EditionMember member, Consumer<EditionResult> ended);
+        void put(VersionMember member, Consumer<VersionResult> ended);
     }
 }
--- a/library/src/main/java/org/copperspindle/gateway/NodeMemberOpener.java
+++ b/library/src/main/java/org/copperspindle/gateway/NodeMemberOpener.java
@@ -13,12 +13,12 @@
 
 import org.copperspindle.consensus.ConsensusSettings;
 import org.copperspindle.core.DecisionRing;
-import org.copperspindle.edition.EditionMember;
-import org.copperspindle.edition.EditionObserver;
-import org.copperspindle.edition.EditionState;
-import org.copperspindle.edition.MemberKeeper.MemberOpener;
-import org.copperspindle.edition.MemberStatus;
 import org.copperspindle.time.TimerService;
+import org.copperspindle.version.MemberStatus;
+import org.copperspindle.version.MemberSupervisor.MemberOpener;
+import org.copperspindle.version.VersionMember;
+import org.copperspindle.version.VersionObserver;
+import org.copperspindle.version.VersionState;
 import org.copperspindle.wire.WireTransport;
 
 /**
@@ -31,7 +31,7 @@
     private final Supplier<WireTransport> transports;
     private final ConsensusSettings settings;
     private final InetSocketAddress bind;
-    private final EditionObserver recorded;
+    private final VersionObserver recorded;
     private final Consumer<MemberStatus> status;
     private volatile Optional<WireTransport> transport = Optional.empty();
 
@@ -41,7 +41,7 @@
             Supplier<WireTransport> transports,
             ConsensusSettings settings,
             InetSocketAddress bind,
-            EditionObserver recorded,
+            VersionObserver recorded,
             Consumer<MemberStatus> status) {
         this.ring = ring;
         this.timers = timers;
@@ -53,12 +53,12 @@
     }
 
     @Override
-    public EditionMember open() throws IOException {
+    public VersionMember open() throws IOException {
         // The stopped member's listening socket holds the address that the next one needs.
         transport.ifPresent(WireTransport::close);
         WireTransport own = transports.get();
         transport = Optional.of(own);
-        return EditionMember.open(ring, timers, own, settings, bind, new EditionState(recorded), status);
+        return VersionMember.open(ring, timers, own, settings, bind, new VersionState(recorded), status);
     }
 
     @Override
--- a/library/src/main/java/org/copperspindle/gateway/NodeState.java
+++ b/library/src/main/java/org/copperspindle/gateway/NodeState.java
@@ -8,11 +8,11 @@
 import org.copperspindle.batch.BatchService;
 import org.copperspindle.direct.DirectClient;
 import org.copperspindle.discovery.UpstreamDirectory;
-import org.copperspindle.edition.EditionExchange;
-import org.copperspindle.edition.EditionHolder;
-import org.copperspindle.edition.MemberStatus;
 import org.copperspindle.mesh.NodeMesh;
 import org.copperspindle.quarantine.RequestQuarantine;
+import org.copperspindle.version.MemberStatus;
+import org.copperspindle.version.VersionExchange;
+import org.copperspindle.version.VersionHolder;
 
 /**
  * What a node shows of itself.
@@ -37,8 +37,8 @@
         BooleanSupplier readiness,
         NodeMesh mesh,
         DirectClient client,
-        EditionExchange exchange,
-        EditionHolder holder,
+        VersionExchange exchange,
+        VersionHolder holder,
         UpstreamDirectory directory,
         UpstreamLimits limits,
         SendPermits permits,
--- a/library/src/main/java/org/copperspindle/gateway/StartupLeaseStatus.java
+++ b/library/src/main/java/org/copperspindle/gateway/StartupLeaseStatus.java
@@ -4,8 +4,8 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
 
-import org.copperspindle.edition.EditionHolder;
 import org.copperspindle.mesh.NodeMesh;
+import org.copperspindle.version.VersionHolder;
 
 /**
  * Where a node stands with its lease, in the time after its start above all.
@@ -18,7 +18,7 @@
     /** Time from a start of all nodes until they serve: an election of up to twice its timeout, and leases. */
     private static final Duration GROUP_RETURN = GroupMember.ELECTION_TIMEOUT.multipliedBy(2);
 
-    private final EditionHolder holder;
+    private final VersionHolder holder;
     private final NodeMesh mesh;
     private final BooleanSupplier stopping;
     private final Supplier<Duration> uptime;
@@ -31,7 +31,7 @@
      * @param stopping says whether this node is about to end
      * @param uptime   time since its start
      */
-    StartupLeaseStatus(EditionHolder holder, NodeMesh mesh, BooleanSupplier stopping, Supplier<Duration> uptime) {
+    StartupLeaseStatus(VersionHolder holder, NodeMesh mesh, BooleanSupplier stopping, Supplier<Duration> uptime) {
         this.holder = holder;
         this.mesh = mesh;
         this.stopping = stopping;
--- a/library/src/main/java/org/copperspindle/edition/EvacuationCommand.java
+++ b/library/src/main/java/org/copperspindle/version/EvacuationCommand.java
@@ -1,4 +1,4 @@
-package org.copperspindle.edition;
+package org.copperspindle.version;
 
 import org.copperspindle.wire.FieldReader;
 import org.copperspindle.wire.FieldWriter;
--- a/library/src/main/java/org/copperspindle/edition/EvacuationsMessage.java
+++ b/library/src/main/java/org/copperspindle/version/EvacuationsMessage.java
@@ -1,4 +1,4 @@
-package org.copperspindle.edition;
+package org.copperspindle.version;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/library/src/main/java/org/copperspindle/edition/MemberStatus.java
+++ b/library/src/main/java/org/copperspindle/version/MemberStatus.java
@@ -1,4 +1,4 @@
-package org.copperspindle.edition;
+package org.copperspindle.version;
 
 /**
  * What a member of the control group knows of its leader.
--- a/library/src/main/java/org/copperspindle/edition/MemberKeeper.java
+++ b/library/src/main/java/org/copperspindle/version/MemberSupervisor.java
@@ -1,4 +1,4 @@
-package org.copperspindle.edition;
+package org.copperspindle.version;
 
 import java.io.IOException;
 import java.time.Duration;
@@ -16,17 +16,17 @@
  * group one loss short of its quorum. So it is opened again until that succeeds, from what its disk holds. What the disk
  * has damaged is dropped, and the member joins as a new one. Runs on the decision ring.
  */
-public final class MemberKeeper implements AutoCloseable {
+public final class MemberSupervisor implements AutoCloseable {
 
-    private static final Logger LOGGER = LogManager.getLogger(MemberKeeper.class);
+    private static final Logger LOGGER = LogManager.getLogger(MemberSupervisor.class);
 
     /** A stopped member is noticed and opened again this often: well within the time that a repair may take. */
     private static final long LOOK_NANOS = Duration.ofMillis(500).toNanos();
 
     private final TimerService timers;
     private final MemberOpener opener;
-    private final Consumer<EditionMember> opened;
-    private Optional<EditionMember> member = Optional.empty();
+    private final Consumer<VersionMember> opened;
+    private Optional<VersionMember> member = Optional.empty();
     private volatile boolean closed;
 
     /**
@@ -36,7 +36,7 @@
      * @param opener opens members
      * @param opened told of each member that was opened
      */
-    public MemberKeeper(TimerService timers, MemberOpener opener, Consumer<EditionMember> opened) {
+    public MemberSupervisor(TimerService timers, MemberOpener opener, Consumer<VersionMember> opened) {
         this.timers = timers;
         this.opener = opener;
         this.opened = opened;
@@ -47,7 +47,7 @@
         if (closed) {
             return;
         }
-        if (member.filter(EditionMember::isRunning).isEmpty()) {
+        if (member.filter(VersionMember::isRunning).isEmpty()) {
             open();
         }
         timers.schedule(LOOK_NANOS, this::start);
@@ -56,7 +56,7 @@
     @Override
     public void close() {
         closed = true;
-        member.ifPresent(EditionMember::close);
+        member.ifPresent(VersionMember::close);
     }
 
     private void open() {
@@ -94,7 +94,7 @@
          * @throws CorruptLogException if what it had synced is damaged
          * @throws IOException         if the disk fails
          */
-        EditionMember open() throws IOException;
+        VersionMember open() throws IOException;
 
         /**
          * Deletes what the disk holds, so that the next member begins as a new one.
--- a/library/src/main/java/org/copperspindle/edition/EditionExchange.java
+++ b/library/src/main/java/org/copperspindle/version/VersionExchange.java
@@ -1,4 +1,4 @@
-package org.copperspindle.edition;
+package org.copperspindle.version;
 
 import java.time.Duration;
 import java.util.HashMap;
@@ -16,7 +16,7 @@
  * Carries versions and leases between the nodes: a leader pushes what was accepted and answers questions, every node
  * asks whom it takes for the leader. Runs on the network thread.
  */
-public final class EditionExchange implements MeshListener {
+public final class VersionExchange implements MeshListener {
 
     /** A large text takes a while over a slow link; before that it is not sent again. */
     private static final long RESEND_NANOS = Duration.ofMillis(1500).toNanos();
@@ -25,8 +25,8 @@
     private final TimerService timers;
     private final Executor network;
     private final Map<String, Sent> sent = new HashMap<>();
-    private EditionHolder holder;
-    private Optional<EditionMember> member = Optional.empty();
+    private VersionHolder holder;
+    private Optional<VersionMember> member = Optional.empty();
     private MemberStatus status = MemberStatus.NONE;
     private Optional<String> asked = Optional.empty();
 
@@ -37,7 +37,7 @@
      * @param timers  time on the network thread
      * @param network runs tasks on the network thread
      */
-    public EditionExchange(NodeMesh mesh, TimerService timers, Executor network) {
+    public VersionExchange(NodeMesh mesh, TimerService timers, Executor network) {
         this.mesh = mesh;
         this.timers = timers;
         this.network = network;
@@ -48,7 +48,7 @@
      *
      * @param own the holder, which asks through {@link #requestLease}
      */
-    public void holder(EditionHolder own) {
+    public void holder(VersionHolder own) {
         holder = own;
     }
 
@@ -57,7 +57,7 @@
      *
      * @param own the member
      */
-    public void member(EditionMember own) {
+    public void member(VersionMember own) {
         member = Optional.of(own);
     }
 
@@ -88,7 +88,7 @@
      *
      * @return empty if this node has no disk
      */
-    public Optional<EditionMember> member() {
+    public Optional<VersionMember> member() {
         return member;
     }
 
@@ -123,7 +123,7 @@
      *
      * @param question the question
      */
-    public void requestLease(EditionLeaseAskMessage question) {
+    public void requestLease(VersionLeaseRequestMessage question) {
         Optional<String> leader = leader();
         if (leader.isEmpty()) {
             return;
@@ -141,7 +141,7 @@
      *
      * @param edition the version
      */
-    public void recorded(EditionMessage edition) {
+    public void recorded(VersionMessage edition) {
         holder.receive(edition);
         if (status.leads()) {
             mesh.nodes().forEach(node -> push(node, node.hello().version(), edition));
@@ -162,12 +162,12 @@
 
     @Override
     public void onMessage(MeshNode node, WireMessage message) {
-        if (message instanceof EditionLeaseAskMessage question) {
+        if (message instanceof VersionLeaseRequestMessage question) {
             member.ifPresent(own ->
                     own.askNewest(newest -> network.execute(() -> answer(node.address(), question, newest))));
-        } else if (message instanceof EditionLeaseMessage answer) {
+        } else if (message instanceof VersionLeaseResponseMessage answer) {
             holder.receive(answer);
-        } else if (message instanceof EditionMessage edition) {
+        } else if (message instanceof VersionMessage edition) {
             holder.receive(edition);
         } else if (message instanceof EvacuationsMessage evacuations) {
             holder.receive(evacuations);
@@ -191,13 +191,13 @@
         sent.remove(node.address());
     }
 
-    private void answerSelf(long sequence, EditionSnapshotMessage newest) {
+    private void answerSelf(long sequence, VersionSnapshotMessage newest) {
         newest.newestVersion().ifPresent(holder::receive);
         holder.receive(newest.evacuations());
         holder.receive(lease(sequence, newest));
     }
 
-    private void answer(String address, EditionLeaseAskMessage question, EditionSnapshotMessage newest) {
+    private void answer(String address, VersionLeaseRequestMessage question, VersionSnapshotMessage newest) {
         Optional<MeshNode> node = mesh.find(address);
         if (node.isEmpty()) {
             return;
@@ -210,12 +210,12 @@
         node.get().send(lease(question.sequence(), newest));
     }
 
-    private static EditionLeaseMessage lease(long sequence, EditionSnapshotMessage newest) {
-        return new EditionLeaseMessage(
+    private static VersionLeaseResponseMessage lease(long sequence, VersionSnapshotMessage newest) {
+        return new VersionLeaseResponseMessage(
                 sequence, newest.version(), newest.evacuations().revision());
     }
 
-    private void push(MeshNode node, long held, EditionMessage edition) {
+    private void push(MeshNode node, long held, VersionMessage edition) {
         long now = timers.nanoTime();
         Sent last = sent.get(node.address());
         boolean underWay = last != null && last.version() >= edition.version() && now - last.at() < RESEND_NANOS;
--- a/library/src/main/java/org/copperspindle/edition/EditionHolder.java
+++ b/library/src/main/java/org/copperspindle/version/VersionHolder.java
@@ -1,4 +1,4 @@
-package org.copperspindle.edition;
+package org.copperspindle.version;
 
 import java.time.Duration;
 import java.util.ArrayDeque;
@@ -22,9 +22,9 @@
  * keys that were taken away or at upstreams that are evacuated, and one that was restarted could begin with what is old.
  * Runs on the network thread.
  */
-public final class EditionHolder {
+public final class VersionHolder {
 
-    private static final Logger LOGGER = LogManager.getLogger(EditionHolder.class);
+    private static final Logger LOGGER = LogManager.getLogger(VersionHolder.class);
 
     /** Interval of questions to the leader; several may be lost before a lease ends. */
     private static final Duration ASK_INTERVAL = Duration.ofMillis(400);
@@ -35,11 +35,11 @@
     private final RouteTableReader reader;
     private final long leaseNanos;
     private final SuspensionWatch watch;
-    private final Consumer<EditionLeaseAskMessage> leader;
+    private final Consumer<VersionLeaseRequestMessage> leader;
     private final List<Consumer<RouteTable>> listeners = new ArrayList<>();
     private final List<Consumer<EvacuationsMessage>> evacuationListeners = new ArrayList<>();
     private final Deque<Question> questions = new ArrayDeque<>();
-    private Optional<EditionMessage> edition = Optional.empty();
+    private Optional<VersionMessage> edition = Optional.empty();
     private Optional<RouteTable> table = Optional.empty();
     private EvacuationsMessage evacuations = EvacuationsMessage.NONE;
     private boolean leased;
@@ -57,12 +57,12 @@
      * @param watch  notices that this VM stood still
      * @param leader sends a question to the leader, if one is known
      */
-    public EditionHolder(
+    public VersionHolder(
             TimerService timers,
             RouteTableReader reader,
             Duration lease,
             SuspensionWatch watch,
-            Consumer<EditionLeaseAskMessage> leader) {
+            Consumer<VersionLeaseRequestMessage> leader) {
         this.timers = timers;
         this.reader = reader;
         this.leaseNanos = lease.toNanos();
@@ -102,7 +102,7 @@
         if (questions.size() > MAX_OPEN_QUESTIONS) {
             questions.removeFirst();
         }
-        leader.accept(new EditionLeaseAskMessage(sequence, version(), evacuations.revision()));
+        leader.accept(new VersionLeaseRequestMessage(sequence, version(), evacuations.revision()));
     }
 
     /**
@@ -110,7 +110,7 @@
      *
      * @param answer the answer
      */
-    public void receive(EditionLeaseMessage answer) {
+    public void receive(VersionLeaseResponseMessage answer) {
         checkSuspension();
         Optional<Question> asked = questions.stream()
                 .filter(q -> q.sequence() == answer.sequence())
@@ -130,7 +130,7 @@
      *
      * @param news the version
      */
-    public void receive(EditionMessage news) {
+    public void receive(VersionMessage news) {
         if (news.version() <= version()) {
             return;
         }
@@ -174,7 +174,7 @@
      * @return 0 if none
      */
     public long version() {
-        return edition.map(EditionMessage::version).orElse(0L);
+        return edition.map(VersionMessage::version).orElse(0L);
     }
 
     /**
--- a/library/src/main/java/org/copperspindle/edition/EditionLeaseAskMessage.java
+++ b/library/src/main/java/org/copperspindle/version/VersionLeaseRequestMessage.java
@@ -1,4 +1,4 @@
-package org.copperspindle.edition;
+package org.copperspindle.version;
 
 import org.copperspindle.wire.FieldReader;
 import org.copperspindle.wire.FieldWriter;
@@ -12,17 +12,17 @@
  * @param held     version that the node holds, 0 if none
  * @param revision revision of the evacuations that it holds, 0 before the first
  */
-public record EditionLeaseAskMessage(long sequence, long held, long revision) implements WireMessage {
+public record VersionLeaseRequestMessage(long sequence, long held, long revision) implements WireMessage {
 
     /** Codec of this message. */
-    public static final MessageCodec<EditionLeaseAskMessage> CODEC = MessageCodec.of(
-            211, EditionLeaseAskMessage.class, EditionLeaseAskMessage::write, EditionLeaseAskMessage::read);
+    public static final MessageCodec<VersionLeaseRequestMessage> CODEC = MessageCodec.of(
+            211, VersionLeaseRequestMessage.class, VersionLeaseRequestMessage::write, VersionLeaseRequestMessage::read);
 
     private void write(FieldWriter out) {
         out.put(1, sequence).put(2, held).put(3, revision);
     }
 
-    private static EditionLeaseAskMessage read(FieldReader in) {
-        return new EditionLeaseAskMessage(in.getLong(1, 0), in.getLong(2, 0), in.getLong(3, 0));
+    private static VersionLeaseRequestMessage read(FieldReader in) {
+        return new VersionLeaseRequestMessage(in.getLong(1, 0), in.getLong(2, 0), in.getLong(3, 0));
     }
 }
--- a/library/src/main/java/org/copperspindle/edition/EditionLeaseMessage.java
+++ b/library/src/main/java/org/copperspindle/version/VersionLeaseResponseMessage.java
@@ -1,4 +1,4 @@
-package org.copperspindle.edition;
+package org.copperspindle.version;
 
 import org.copperspindle.wire.FieldReader;
 import org.copperspindle.wire.FieldWriter;
@@ -13,17 +13,20 @@
  * @param version  newest version, 0 if none was accepted yet
  * @param revision revision of the evacuations, 0 before the first
  */
-public record EditionLeaseMessage(long sequence, long version, long revision) implements WireMessage {
+public record VersionLeaseResponseMessage(long sequence, long version, long revision) implements WireMessage {
 
     /** Codec of this message. */
-    public static final MessageCodec<EditionLeaseMessage> CODEC =
-            MessageCodec.of(212, EditionLeaseMessage.class, EditionLeaseMessage::write, EditionLeaseMessage::read);
+    public static final MessageCodec<VersionLeaseResponseMessage> CODEC = MessageCodec.of(
+            212,
+            VersionLeaseResponseMessage.class,
+            VersionLeaseResponseMessage::write,
+            VersionLeaseResponseMessage::read);
 
     private void write(FieldWriter out) {
         out.put(1, sequence).put(2, version).put(3, revision);
     }
 
-    private static EditionLeaseMessage read(FieldReader in) {
-        return new EditionLeaseMessage(in.getLong(1, 0), in.getLong(2, 0), in.getLong(3, 0));
+    private static VersionLeaseResponseMessage read(FieldReader in) {
+        return new VersionLeaseResponseMessage(in.getLong(1, 0), in.getLong(2, 0), in.getLong(3, 0));
     }
 }
--- a/library/src/main/java/org/copperspindle/edition/EditionMember.java
+++ b/library/src/main/java/org/copperspindle/version/VersionMember.java
@@ -1,4 +1,4 @@
-package org.copperspindle.edition;
+package org.copperspindle.version;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -22,16 +22,16 @@
  * This node's member of the control group. Its log runs on the decision ring; all methods may be called from any thread,
  * and callbacks come on the ring.
  */
-public final class EditionMember implements AutoCloseable {
+public final class VersionMember implements AutoCloseable {
 
-    private static final Logger LOGGER = LogManager.getLogger(EditionMember.class);
+    private static final Logger LOGGER = LogManager.getLogger(VersionMember.class);
 
     /** How often what is known of the leader is made known to the network thread. */
     private static final long STATUS_NANOS = Duration.ofMillis(100).toNanos();
 
     private final DecisionRing ring;
     private final TimerService timers;
-    private final EditionState state;
+    private final VersionState state;
     private final ReplicatedLog log;
     private final SuspensionWatch watch;
     private final Consumer<MemberStatus> listener;
@@ -41,10 +41,10 @@
     private MemberStatus published = MemberStatus.NONE;
     private volatile boolean closed;
 
-    EditionMember(
+    VersionMember(
             DecisionRing ring,
             TimerService timers,
-            EditionState state,
+            VersionState state,
             ReplicatedLog log,
             SuspensionWatch watch,
             Duration electionTimeout,
@@ -71,18 +71,18 @@
      * @return the member
      * @throws IOException if the disk fails or its records are damaged
      */
-    public static EditionMember open(
+    public static VersionMember open(
             DecisionRing ring,
             TimerService timers,
             WireTransport transport,
             ConsensusSettings settings,
             InetSocketAddress bind,
-            EditionState state,
+            VersionState state,
             Consumer<MemberStatus> listener)
             throws IOException {
         ConsensusLog log = ConsensusLog.open(ring, timers, transport, state, settings);
         listen(transport, bind, log);
-        EditionMember member = new EditionMember(
+        VersionMember member = new VersionMember(
                 ring, timers, state, log, new SuspensionWatch(), settings.electionTimeout(), listener);
         ring.execute(log::start);
         ring.execute(member::publish);
@@ -95,8 +95,8 @@
      * @param edition  the version, checked before
      * @param callback told how it ended
      */
-    public void put(EditionMessage edition, Consumer<EditionResult> callback) {
-        propose(EditionMessage.CODEC.encode(edition), callback);
+    public void put(VersionMessage edition, Consumer<VersionResult> callback) {
+        propose(VersionMessage.CODEC.encode(edition), callback);
     }
 
     /**
@@ -105,7 +105,7 @@
      * @param order    the order, its name checked before
      * @param callback told how it ended
      */
-    public void evacuate(EvacuationCommand order, Consumer<EditionResult> callback) {
+    public void evacuate(EvacuationCommand order, Consumer<VersionResult> callback) {
         propose(EvacuationCommand.CODEC.encode(order), callback);
     }
 
@@ -115,8 +115,8 @@
      *
      * @param callback told the result
      */
-    public void read(Consumer<EditionResult> callback) {
-        propose(EditionState.READ, callback);
+    public void read(Consumer<VersionResult> callback) {
+        propose(VersionState.READ, callback);
     }
 
     /**
@@ -124,7 +124,7 @@
      *
      * @param callback told what is newest; not called if this member does not lead or can't be sure of it
      */
-    public void askNewest(Consumer<EditionSnapshotMessage> callback) {
+    public void askNewest(Consumer<VersionSnapshotMessage> callback) {
         ring.offer(() -> {
             if (isTrusted() && log.leads()) {
                 callback.accept(state.held());
@@ -163,29 +163,29 @@
         }
     }
 
-    private void propose(byte[] command, Consumer<EditionResult> callback) {
+    private void propose(byte[] command, Consumer<VersionResult> callback) {
         boolean taken = ring.offer(() -> {
             if (!isTrusted()) {
-                callback.accept(new EditionResult.NotLeading());
+                callback.accept(new VersionResult.NotLeading());
                 return;
             }
             log.propose(command, result -> callback.accept(read(result)));
         });
         if (!taken) {
-            callback.accept(new EditionResult.NotLeading());
+            callback.accept(new VersionResult.NotLeading());
         }
     }
 
-    private EditionResult read(ProposalResult result) {
+    private VersionResult read(ProposalResult result) {
         if (result instanceof ProposalResult.NotTaken) {
-            return new EditionResult.NotLeading();
+            return new VersionResult.NotLeading();
         }
         if (!(result instanceof ProposalResult.Committed committed)) {
-            return new EditionResult.Unknown();
+            return new VersionResult.Unknown();
         }
         return committed.result() instanceof ControlResult.ConfigRefused refused
-                ? new EditionResult.Refused(refused.reason())
-                : new EditionResult.Recorded(state.held());
+                ? new VersionResult.Refused(refused.reason())
+                : new VersionResult.Recorded(state.held());
     }
 
     /** After a suspension the leader's lease, counted on a clock that stood still, proves nothing until it has ended. */
--- a/library/src/main/java/org/copperspindle/edition/EditionMessage.java
+++ b/library/src/main/java/org/copperspindle/version/VersionMessage.java
@@ -1,4 +1,4 @@
-package org.copperspindle.edition;
+package org.copperspindle.version;
 
 import org.copperspindle.wire.FieldReader;
 import org.copperspindle.wire.FieldWriter;
@@ -11,17 +11,17 @@
  * @param version its version, above 0
  * @param text    the text as the operator sent it, to be given back unchanged
  */
-public record EditionMessage(long version, byte[] text) implements WireMessage {
+public record VersionMessage(long version, byte[] text) implements WireMessage {
 
     /** Codec of this message. */
-    public static final MessageCodec<EditionMessage> CODEC =
-            MessageCodec.of(210, EditionMessage.class, EditionMessage::write, EditionMessage::read);
+    public static final MessageCodec<VersionMessage> CODEC =
+            MessageCodec.of(210, VersionMessage.class, VersionMessage::write, VersionMessage::read);
 
     private void write(FieldWriter out) {
         out.put(1, version).put(2, text);
     }
 
-    private static EditionMessage read(FieldReader in) {
-        return new EditionMessage(in.getLong(1, 0), in.getBytes(2));
+    private static VersionMessage read(FieldReader in) {
+        return new VersionMessage(in.getLong(1, 0), in.getBytes(2));
     }
 }
--- a/library/src/main/java/org/copperspindle/edition/EditionObserver.java
+++ b/library/src/main/java/org/copperspindle/version/VersionObserver.java
@@ -1,16 +1,16 @@
-package org.copperspindle.edition;
+package org.copperspindle.version;
 
 /**
  * Hears of what the control group has committed.
  */
-public interface EditionObserver {
+public interface VersionObserver {
 
     /**
      * A version comes into force.
      *
      * @param edition the version
      */
-    void onVersion(EditionMessage edition);
+    void onVersion(VersionMessage edition);
 
     /**
      * A failure domain is evacuated or used again.
--- a/library/src/main/java/org/copperspindle/edition/EditionResult.java
+++ b/library/src/main/java/org/copperspindle/version/VersionResult.java
@@ -1,27 +1,27 @@
-package org.copperspindle.edition;
+package org.copperspindle.version;
 
 /**
  * How a question to the control group ended.
  */
-public sealed interface EditionResult {
+public sealed interface VersionResult {
 
     /**
      * Committed: the state holds everything that was acknowledged before the question came.
      *
      * @param held all that was accepted
      */
-    record Recorded(EditionSnapshotMessage held) implements EditionResult {}
+    record Recorded(VersionSnapshotMessage held) implements VersionResult {}
 
     /**
      * Committed, and changed nothing.
      *
      * @param reason why, for the operator
      */
-    record Refused(String reason) implements EditionResult {}
+    record Refused(String reason) implements VersionResult {}
 
     /** This member does not lead; nothing was recorded. */
-    record NotLeading() implements EditionResult {}
+    record NotLeading() implements VersionResult {}
 
     /** The leader lost its place meanwhile: the change may or may not be recorded. */
-    record Unknown() implements EditionResult {}
+    record Unknown() implements VersionResult {}
 }
--- a/library/src/main/java/org/copperspindle/edition/EditionSnapshotMessage.java
+++ b/library/src/main/java/org/copperspindle/version/VersionSnapshotMessage.java
@@ -1,4 +1,4 @@
-package org.copperspindle.edition;
+package org.copperspindle.version;
 
 import java.util.Optional;
 
@@ -13,15 +13,15 @@
  * @param newestVersion newest version, empty if none was accepted yet
  * @param evacuations   failure domains that are evacuated
  */
-public record EditionSnapshotMessage(Optional<EditionMessage> newestVersion, EvacuationsMessage evacuations)
+public record VersionSnapshotMessage(Optional<VersionMessage> newestVersion, EvacuationsMessage evacuations)
         implements WireMessage {
 
     /** Codec of this message. */
-    public static final MessageCodec<EditionSnapshotMessage> CODEC = MessageCodec.of(
-            215, EditionSnapshotMessage.class, EditionSnapshotMessage::write, EditionSnapshotMessage::read);
+    public static final MessageCodec<VersionSnapshotMessage> CODEC = MessageCodec.of(
+            215, VersionSnapshotMessage.class, VersionSnapshotMessage::write, VersionSnapshotMessage::read);
 
     /** Nothing was accepted yet. */
-    static final EditionSnapshotMessage EMPTY = new EditionSnapshotMessage(Optional.empty(), EvacuationsMessage.NONE);
+    static final VersionSnapshotMessage EMPTY = new VersionSnapshotMessage(Optional.empty(), EvacuationsMessage.NONE);
 
     /**
      * Returns the number of the newest version.
@@ -29,18 +29,18 @@
      * @return 0 if none was accepted yet
      */
     public long version() {
-        return newestVersion.map(EditionMessage::version).orElse(0L);
+        return newestVersion.map(VersionMessage::version).orElse(0L);
     }
 
     private void write(FieldWriter out) {
-        newestVersion.ifPresent(newest -> out.put(1, EditionMessage.CODEC.encode(newest)));
+        newestVersion.ifPresent(newest -> out.put(1, VersionMessage.CODEC.encode(newest)));
         out.put(2, EvacuationsMessage.CODEC.encode(evacuations));
     }
 
-    private static EditionSnapshotMessage read(FieldReader in) {
+    private static VersionSnapshotMessage read(FieldReader in) {
         byte[] text = in.getBytes(1);
-        return new EditionSnapshotMessage(
-                text.length == 0 ? Optional.empty() : Optional.of(EditionMessage.CODEC.decodePart(text)),
+        return new VersionSnapshotMessage(
+                text.length == 0 ? Optional.empty() : Optional.of(VersionMessage.CODEC.decodePart(text)),
                 EvacuationsMessage.CODEC.decodePart(in.getBytes(2)));
     }
 }
--- a/library/src/main/java/org/copperspindle/edition/EditionState.java
+++ b/library/src/main/java/org/copperspindle/version/VersionState.java
@@ -1,4 +1,4 @@
-package org.copperspindle.edition;
+package org.copperspindle.version;
 
 import java.util.Optional;
 
@@ -17,28 +17,28 @@
  * can be acknowledged without harm, and of two texts under one number the first stands. Orders to evacuate carry no number:
  * the last one in the log wins, and one that asks for what is so already changes nothing.
  */
-public final class EditionState implements ReplicatedState {
+public final class VersionState implements ReplicatedState {
 
     /** A command that changes nothing; once it is committed, the state holds everything that was acknowledged before. */
     static final byte[] READ = new byte[0];
 
-    private static final Logger LOGGER = LogManager.getLogger(EditionState.class);
+    private static final Logger LOGGER = LogManager.getLogger(VersionState.class);
 
     /** What commands and snapshots are made of. A snapshot that holds a version alone was made before there were evacuations. */
     private static final MessageRegistry FORMAT = new MessageRegistry()
-            .register(EditionMessage.CODEC)
+            .register(VersionMessage.CODEC)
             .register(EvacuationCommand.CODEC)
-            .register(EditionSnapshotMessage.CODEC);
+            .register(VersionSnapshotMessage.CODEC);
 
-    private final EditionObserver observer;
-    private EditionSnapshotMessage held = EditionSnapshotMessage.EMPTY;
+    private final VersionObserver observer;
+    private VersionSnapshotMessage held = VersionSnapshotMessage.EMPTY;
 
     /**
      * Creates the state.
      *
      * @param observer told of each version and list of evacuations that comes into force
      */
-    public EditionState(EditionObserver observer) {
+    public VersionState(VersionObserver observer) {
         this.observer = observer;
     }
 
@@ -47,7 +47,7 @@
      *
      * @return the state as a snapshot would hold it
      */
-    public EditionSnapshotMessage held() {
+    public VersionSnapshotMessage held() {
         return held;
     }
 
@@ -60,7 +60,7 @@
         if (message instanceof EvacuationCommand order) {
             return evacuate(order, index, term);
         }
-        if (message instanceof EditionMessage edition && edition.version() > held.version()) {
+        if (message instanceof VersionMessage edition && edition.version() > held.version()) {
             accept(edition, index, term);
         }
         return new ControlResult.ConfigAccepted(held.version());
@@ -68,17 +68,17 @@
 
     @Override
     public byte[] snapshot() {
-        return EditionSnapshotMessage.CODEC.encode(held);
+        return VersionSnapshotMessage.CODEC.encode(held);
     }
 
     @Override
     public void restore(byte[] snapshot) {
         WireMessage message = decode(snapshot);
-        if (message instanceof EditionSnapshotMessage whole) {
+        if (message instanceof VersionSnapshotMessage whole) {
             held = whole;
-        } else if (message instanceof EditionMessage alone) {
-            Optional<EditionMessage> edition = Optional.of(alone).filter(e -> e.version() > 0);
-            held = new EditionSnapshotMessage(edition, EvacuationsMessage.NONE);
+        } else if (message instanceof VersionMessage alone) {
+            Optional<VersionMessage> edition = Optional.of(alone).filter(e -> e.version() > 0);
+            held = new VersionSnapshotMessage(edition, EvacuationsMessage.NONE);
         }
         held.newestVersion().ifPresent(observer::onVersion);
         if (held.evacuations().revision() > 0) {
@@ -86,7 +86,7 @@
         }
     }
 
-    private void accept(EditionMessage edition, long index, long term) {
+    private void accept(VersionMessage edition, long index, long term) {
         LOGGER.info(
                 "event=version-committed version={} before={} index={} term={} bytes={}",
                 edition.version(),
@@ -94,7 +94,7 @@
                 index,
                 term,
                 edition.text().length);
-        held = new EditionSnapshotMessage(Optional.of(edition), held.evacuations());
+        held = new VersionSnapshotMessage(Optional.of(edition), held.evacuations());
         observer.onVersion(edition);
     }
 
@@ -112,7 +112,7 @@
                 term,
                 next.failureDomains());
         if (next != held.evacuations()) {
-            held = new EditionSnapshotMessage(held.newestVersion(), next);
+            held = new VersionSnapshotMessage(held.newestVersion(), next);
             observer.onEvacuations(next);
         }
         return new ControlResult.ConfigAccepted(held.version());
--- a/library/src/main/java/org/copperspindle/edition/MeshRoster.java
+++ b/library/src/main/java/org/copperspindle/version/VoterDiscovery.java
@@ -1,4 +1,4 @@
-package org.copperspindle.edition;
+package org.copperspindle.version;
 
 import java.net.InetSocketAddress;
 import java.time.Duration;
@@ -6,7 +6,7 @@
 import java.util.TreeSet;
 
 import org.copperspindle.consensus.VoterAddress;
-import org.copperspindle.consensus.VoterRoster;
+import org.copperspindle.consensus.VoterSource;
 import org.copperspindle.mesh.MeshListener;
 import org.copperspindle.mesh.MeshNode;
 import org.copperspindle.mesh.NodeMesh;
@@ -17,7 +17,7 @@
  * Takes every node with a disk for a voter, as they come and go. At the very first start the group is founded once the
  * set of them has stood still for a while; later a node can only join. Written on the network thread, read on the ring.
  */
-public final class MeshRoster implements VoterRoster, MeshListener {
+public final class VoterDiscovery implements VoterSource, MeshListener {
 
     /** All processes of a deployment start within a fraction of a second of each other; three times that. */
     private static final Duration SETTLED = Duration.ofMillis(1000);
@@ -40,7 +40,7 @@
      * @param firstStart true only when the whole deployment starts for the first time
      * @param tolerated  nodes with a disk whose loss at once must be borne
      */
-    public MeshRoster(NodeMesh mesh, TimerService timers, boolean firstStart, int tolerated) {
+    public VoterDiscovery(NodeMesh mesh, TimerService timers, boolean firstStart, int tolerated) {
         this.mesh = mesh;
         this.timers = timers;
         this.firstStart = firstStart;
--- a/library/src/test/java/org/copperspindle/consensus/SimulatedGroup.java
+++ b/library/src/test/java/org/copperspindle/consensus/SimulatedGroup.java
@@ -61,7 +61,7 @@
 
     /** Lets members come and go as they are found, down to a number of voters that a removal must leave. */
     void openMembership(int minVoters, boolean mayBootstrap) {
-        VoterRoster roster = new VoterRoster() {
+        VoterSource roster = new VoterSource() {
             @Override
             public List<VoterAddress> voters() {
                 return List.of();
--- a/library/src/test/java/org/copperspindle/edition/IgnoringObserver.java
+++ b/library/src/test/java/org/copperspindle/version/IgnoringObserver.java
@@ -1,12 +1,12 @@
-package org.copperspindle.edition;
+package org.copperspindle.version;
 
 /**
  * Takes note of nothing.
  */
-final class IgnoringObserver implements EditionObserver {
+final class IgnoringObserver implements VersionObserver {
 
     @Override
-    public void onVersion(EditionMessage edition) {
+    public void onVersion(VersionMessage edition) {
         // Only the member's own life is tested.
     }
 
--- a/library/src/test/java/org/copperspindle/edition/MemberKeeperTest.java
+++ b/library/src/test/java/org/copperspindle/version/MemberSupervisorTest.java
@@ -1,4 +1,4 @@
-package org.copperspindle.edition;
+package org.copperspindle.version;
 
 import java.io.IOException;
 import java.nio.file.Path;
@@ -21,7 +21,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class MemberKeeperTest {
+class MemberSupervisorTest {
 
     private static final long MILLI = 1_000_000L;
 
@@ -29,9 +29,9 @@
     private final DecisionRing ring = new DecisionRing("test", 64);
     private final Deque<IOException> failures = new ArrayDeque<>();
     private final List<StoppableLog> logs = new ArrayList<>();
-    private final List<EditionMember> opened = new ArrayList<>();
+    private final List<VersionMember> opened = new ArrayList<>();
     private int drops;
-    private final MemberKeeper keeper = new MemberKeeper(time, new Opener(), opened::add);
+    private final MemberSupervisor keeper = new MemberSupervisor(time, new Opener(), opened::add);
 
     @AfterEach
     void close() {
@@ -80,18 +80,18 @@
     }
 
     /** Fails as long as failures are left. */
-    private final class Opener implements MemberKeeper.MemberOpener {
+    private final class Opener implements MemberSupervisor.MemberOpener {
         @Override
-        public EditionMember open() throws IOException {
+        public VersionMember open() throws IOException {
             if (!failures.isEmpty()) {
                 throw failures.poll();
             }
             StoppableLog log = new StoppableLog();
             logs.add(log);
-            return new EditionMember(
+            return new VersionMember(
                     ring,
                     time,
-                    new EditionState(new IgnoringObserver()),
+                    new VersionState(new IgnoringObserver()),
                     log,
                     new SuspensionWatch(),
                     Duration.ofSeconds(1),
--- a/library/src/test/java/org/copperspindle/edition/EditionHolderTest.java
+++ b/library/src/test/java/org/copperspindle/version/VersionHolderTest.java
@@ -1,4 +1,4 @@
-package org.copperspindle.edition;
+package org.copperspindle.version;
 
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
@@ -19,7 +19,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class EditionHolderTest {
+class VersionHolderTest {
 
     private static final long MILLI = 1_000_000L;
     private static final RouteTableReader READER = text -> new RouteTableResult.Valid(TestRoutes.table(
@@ -31,9 +31,9 @@
     private final AtomicLong suspended = new AtomicLong();
     private final SuspensionWatch watch =
             new SuspensionWatch(time::nanoTime, () -> (time.nanoTime() + suspended.get()) / MILLI);
-    private final List<EditionLeaseAskMessage> questions = new ArrayList<>();
-    private final EditionHolder holder =
-            new EditionHolder(time, READER, Duration.ofMillis(3800), watch, questions::add);
+    private final List<VersionLeaseRequestMessage> questions = new ArrayList<>();
+    private final VersionHolder holder =
+            new VersionHolder(time, READER, Duration.ofMillis(3800), watch, questions::add);
 
     /** A restarted node holds a version that it has been told, and does not know yet whether that is the newest. */
     @Test
@@ -143,8 +143,8 @@
         assertThat(questions).hasSize(6);
     }
 
-    private static EditionMessage edition(long version) {
-        return new EditionMessage(version, Long.toString(version).getBytes(StandardCharsets.UTF_8));
+    private static VersionMessage edition(long version) {
+        return new VersionMessage(version, Long.toString(version).getBytes(StandardCharsets.UTF_8));
     }
 
     private void answer(long version) {
@@ -153,6 +153,6 @@
 
     private void answer(long version, long revision) {
         long last = questions.get(questions.size() - 1).sequence();
-        holder.receive(new EditionLeaseMessage(last, version, revision));
+        holder.receive(new VersionLeaseResponseMessage(last, version, revision));
     }
 }
--- a/library/src/test/java/org/copperspindle/edition/EditionMemberTest.java
+++ b/library/src/test/java/org/copperspindle/version/VersionMemberTest.java
@@ -1,4 +1,4 @@
-package org.copperspindle.edition;
+package org.copperspindle.version;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -16,7 +16,7 @@
 import org.copperspindle.consensus.ConsensusLog;
 import org.copperspindle.consensus.ConsensusSettings;
 import org.copperspindle.consensus.VoterAddress;
-import org.copperspindle.consensus.VoterRoster;
+import org.copperspindle.consensus.VoterSource;
 import org.copperspindle.core.DecisionRing;
 import org.copperspindle.loopback.LoopbackHost;
 import org.copperspindle.time.SystemTimerService;
@@ -30,7 +30,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-class EditionMemberTest {
+class VersionMemberTest {
 
     private static final long ASK_AGAIN_MILLIS = 20;
 
@@ -55,7 +55,7 @@
                 assertThat(taken.isBound()).isTrue();
                 assertThatThrownBy(() -> open(ring, transport, address)).isInstanceOf(IOException.class);
             }
-            try (EditionMember member = open(ring, transport, address)) {
+            try (VersionMember member = open(ring, transport, address)) {
                 assertThat(member.isRunning()).isTrue();
             }
         }
@@ -68,7 +68,7 @@
     @Test
     void folderOfABuildWithoutEvacuationsIsRead() throws IOException {
         for (String name : List.of("member", "log-0000000000000002", "snapshot-0000000000000001")) {
-            Files.copy(EditionMemberTest.class.getResourceAsStream("/control-folder/" + name), folder.resolve(name));
+            Files.copy(VersionMemberTest.class.getResourceAsStream("/control-folder/" + name), folder.resolve(name));
         }
         EvacuationCommand order = new EvacuationCommand("d", true);
         assertThat(held((member, ended) -> member.read(ended)).version()).isEqualTo(3);
@@ -76,14 +76,14 @@
                         .evacuations()
                         .failureDomains())
                 .containsExactly("d");
-        EditionSnapshotMessage held = held((member, ended) -> member.read(ended));
+        VersionSnapshotMessage held = held((member, ended) -> member.read(ended));
         assertThat(held.newestVersion().map(edition -> new String(edition.text(), StandardCharsets.UTF_8)))
                 .hasValue("text 3");
         assertThat(held.evacuations().failureDomains()).containsExactly("d");
     }
 
     /** Opens the member named "voter", asks until it leads and has answered, and closes it. */
-    private EditionSnapshotMessage held(BiConsumer<EditionMember, Consumer<EditionResult>> question)
+    private VersionSnapshotMessage held(BiConsumer<VersionMember, Consumer<VersionResult>> question)
             throws IOException {
         MessageRegistry registry = WireTransport.registry();
         ConsensusLog.codecs().forEach(registry::register);
@@ -91,11 +91,11 @@
         try (DecisionRing ring = new DecisionRing("test", 64);
                 WireTransport transport = new WireTransport(
                         1, registry, new GreetingMessage(GreetingMessage.PROTOCOL, "control", "m", 1));
-                EditionMember member = open(ring, transport, new VoterAddress("voter", address))) {
-            BlockingQueue<EditionResult> results = new LinkedBlockingQueue<>();
+                VersionMember member = open(ring, transport, new VoterAddress("voter", address))) {
+            BlockingQueue<VersionResult> results = new LinkedBlockingQueue<>();
             while (true) {
                 question.accept(member, results::add);
-                if (results.take() instanceof EditionResult.Recorded recorded) {
+                if (results.take() instanceof VersionResult.Recorded recorded) {
                     return recorded.held();
                 }
                 Thread.sleep(ASK_AGAIN_MILLIS);
@@ -105,29 +105,29 @@
         }
     }
 
-    private EditionMember open(DecisionRing ring, WireTransport transport, InetSocketAddress address)
+    private VersionMember open(DecisionRing ring, WireTransport transport, InetSocketAddress address)
             throws IOException {
         return open(ring, transport, new VoterAddress(NumericAddress.format(address), address));
     }
 
-    private EditionMember open(DecisionRing ring, WireTransport transport, VoterAddress voter) throws IOException {
+    private VersionMember open(DecisionRing ring, WireTransport transport, VoterAddress voter) throws IOException {
         InetSocketAddress address = voter.address();
         ConsensusSettings settings = new ConsensusSettings(
                 "control",
                 voter.name(),
                 address,
                 new InetSocketAddress(address.getAddress(), 1),
-                VoterRoster.fixedVoters(List.of(voter)),
+                VoterSource.fixedVoters(List.of(voter)),
                 true,
                 folder,
                 Duration.ofMillis(400));
-        return EditionMember.open(
+        return VersionMember.open(
                 ring,
                 new SystemTimerService("timer", ring),
                 transport,
                 settings,
                 address,
-                new EditionState(new IgnoringObserver()),
+                new VersionState(new IgnoringObserver()),
                 status -> {});
     }
 }
--- a/library/src/test/java/org/copperspindle/edition/EditionStateTest.java
+++ b/library/src/test/java/org/copperspindle/version/VersionStateTest.java
@@ -1,4 +1,4 @@
-package org.copperspindle.edition;
+package org.copperspindle.version;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -12,10 +12,10 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class EditionStateTest {
+class VersionStateTest {
 
     private final Seen seen = new Seen();
-    private final EditionState state = new EditionState(seen);
+    private final VersionState state = new VersionState(seen);
     private long index;
 
     /**
@@ -34,7 +34,7 @@
     @Test
     void readChangesNothingAndTellsTheNewest() {
         put(3, "text");
-        assertThat(state.apply(++index, 1, EditionState.READ)).isEqualTo(new ControlResult.ConfigAccepted(3));
+        assertThat(state.apply(++index, 1, VersionState.READ)).isEqualTo(new ControlResult.ConfigAccepted(3));
         assertThat(seen.versions).containsExactly(3L);
     }
 
@@ -42,7 +42,7 @@
     void snapshotBringsTheTextBackUnchanged() {
         put(3, "text é");
         Seen restored = new Seen();
-        EditionState other = new EditionState(restored);
+        VersionState other = new VersionState(restored);
         other.restore(state.snapshot());
         assertThat(text(other)).isEqualTo("text é");
         assertThat(restored.versions).containsExactly(3L);
@@ -53,7 +53,7 @@
     @ParameterizedTest
     @ValueSource(longs = {0, 3})
     void snapshotOfAVersionAloneIsRead(long version) {
-        byte[] old = EditionMessage.CODEC.encode(new EditionMessage(version, "text".getBytes(StandardCharsets.UTF_8)));
+        byte[] old = VersionMessage.CODEC.encode(new VersionMessage(version, "text".getBytes(StandardCharsets.UTF_8)));
         state.restore(old);
         assertThat(state.held().version()).isEqualTo(version);
         assertThat(state.held().evacuations()).isEqualTo(EvacuationsMessage.NONE);
@@ -82,7 +82,7 @@
         assertThat(held.revision()).isEqualTo(revision);
         assertThat(String.join(" ", held.failureDomains())).isEqualTo(evacuated);
         assertThat(seen.evacuations).hasSize((int) revision);
-        EditionState other = new EditionState(new Seen());
+        VersionState other = new VersionState(new Seen());
         other.restore(state.snapshot());
         assertThat(other.held()).isEqualTo(state.held());
     }
@@ -100,8 +100,8 @@
     }
 
     private ControlResult put(long version, String text) {
-        EditionMessage edition = new EditionMessage(version, text.getBytes(StandardCharsets.UTF_8));
-        return state.apply(++index, 1, EditionMessage.CODEC.encode(edition));
+        VersionMessage edition = new VersionMessage(version, text.getBytes(StandardCharsets.UTF_8));
+        return state.apply(++index, 1, VersionMessage.CODEC.encode(edition));
     }
 
     private ControlResult order(String failureDomain, boolean begins) {
@@ -113,17 +113,17 @@
         return text(state);
     }
 
-    private static String text(EditionState of) {
+    private static String text(VersionState of) {
         return new String(of.held().newestVersion().orElseThrow().text(), StandardCharsets.UTF_8);
     }
 
     /** What an observer was told. */
-    private static final class Seen implements EditionObserver {
+    private static final class Seen implements VersionObserver {
         private final List<Long> versions = new ArrayList<>();
         private final List<EvacuationsMessage> evacuations = new ArrayList<>();
 
         @Override
-        public void onVersion(EditionMessage edition) {
+        public void onVersion(VersionMessage edition) {
             versions.add(edition.version());
         }
 
