--- a/library/src/main/java/org/copperspindle/gateway/AdmittedRequest.java
+++ b/library/src/main/java/org/copperspindle/gateway/AdmittedRequest.java
@@ -12,14 +12,14 @@
 import org.copperspindle.route.UpstreamPool;
 
 /**
- * A request that the table in force allows, with what it was admitted by.
+ * A request that passed the checks of the configuration in force, with what it was admitted under.
  *
- * @param request what the caller wants
- * @param table   table by which it was admitted, and by which it is served to its end
+ * @param request the caller's request
+ * @param table   route table under which it was admitted; it is served under this table to its end
  * @param route   its route
- * @param account client account that holds its key
- * @param pool    pool that serves it
- * @param times   instants that matter to it
+ * @param account client account that owns the key of the request
+ * @param pool    engine pool that serves it
+ * @param times   its start, objective and deadlines
  */
 record AdmittedRequest(
         GatewayRequest request,
@@ -29,11 +29,11 @@
         String pool,
         RequestTimes times) {
 
-    /** Ranks of routes that fit under each rank of an account. */
+    /** Number of distinct route ranks within each account rank. */
     private static final int ROUTE_RANKS = 3;
 
-    /** Rank of callers without an account, and of accounts that have none. */
-    private static final int USUAL_RANK = 1;
+    /** Rank of callers without an account, and of accounts that set no rank. */
+    private static final int DEFAULT_RANK = 1;
 
     /** Returns the pool of a stage. */
     String stagePool(int stage) {
@@ -45,8 +45,8 @@
         return account.map(ClientAccount::name).orElse("");
     }
 
-    /** Describes the request to the quarantine. */
-    TrackedRequest watched() {
+    /** Describes the request to the quarantine. The digest is computed only when the quarantine asks for it. */
+    TrackedRequest tracked() {
         return new TrackedRequest(
                 request.id(),
                 route.name(),
@@ -55,27 +55,30 @@
                 () -> RequestDigest.of(accountName(), request.method(), request.host(), request.uri(), request.body()));
     }
 
-    /** Says whether the request has pieces of a stage. */
+    /** Returns whether the request has pieces of a stage. */
     boolean needsStage(int stage) {
         return stage < request.pieces().size() && request.pieces().get(stage) > 0;
     }
 
-    /** Says whether a pool makes pieces of the request. */
+    /** Returns whether a pool runs pieces of the request. */
     boolean needsPool(String name) {
         return IntStream.range(0, route.stages().size())
                 .filter(this::needsStage)
                 .anyMatch(stage -> stagePool(stage).equals(name));
     }
 
-    /** Returns the limits of the calls of a stage's pool; empty if the table does not have the pool. */
+    /** Returns the batch limits of a stage's pool; empty if the table does not have the pool. */
     Optional<BatchLimits> stageLimits(int stage) {
         return table.findPool(stagePool(stage)).flatMap(UpstreamPool::batchLimits);
     }
 
-    /** Returns the urgency, 0 first: the rank of the account goes before that of the route. */
+    /**
+     * Returns the scheduling rank, 0 is the most urgent: the rank of the account takes precedence over that of the
+     * route.
+     */
     int rank() {
-        int ofAccount = account.map(a -> a.priority().orElse(USUAL_RANK)).orElse(USUAL_RANK);
-        int within = Math.min(ROUTE_RANKS - 1, Math.max(0, route.priority()));
-        return Math.min(ROUTE_RANKS, Math.max(0, ofAccount)) * ROUTE_RANKS + within;
+        int accountRank = account.map(a -> a.priority().orElse(DEFAULT_RANK)).orElse(DEFAULT_RANK);
+        int routeRank = Math.min(ROUTE_RANKS - 1, Math.max(0, route.priority()));
+        return Math.min(ROUTE_RANKS, Math.max(0, accountRank)) * ROUTE_RANKS + routeRank;
     }
 }
--- a/library/src/main/java/org/copperspindle/gateway/AttemptSpec.java
+++ b/library/src/main/java/org/copperspindle/gateway/AttemptSpec.java
@@ -7,16 +7,16 @@
 import org.copperspindle.discovery.UpstreamRecord;
 
 /**
- * One attempt of a request at one upstream.
+ * What the dialect needs to write one attempt of a request to one upstream.
  *
  * @param request         the request
- * @param upstream        the upstream; no other at its address may run it
- * @param remainingMillis time that is left for it
- * @param account         client account that holds the caller's key
+ * @param upstream        target upstream; another upstream at the same address must not run it
+ * @param remainingMillis time left until the deadline of the request
+ * @param account         client account that owns the caller's key
  * @param inputs          handles of the stage results that it needs; empty if its route has no stages
- * @param resumeAfter     id of the last event that the caller has, if the stream goes on
- * @param rank            urgency, 0 first
- * @param connectionUse   on which connection it may go out
+ * @param resumeAfter     id of the last event that the caller received, if the attempt resumes a stream
+ * @param rank            scheduling rank, 0 is the most urgent
+ * @param connectionUse   whether a kept connection may be used
  */
 public record AttemptSpec(
         GatewayRequest request,
--- /dev/null
+++ b/library/src/main/java/org/copperspindle/gateway/EventStreamRelay.java
@@ -0,0 +1,145 @@
+package org.copperspindle.gateway;
+
+import java.util.List;
+import java.util.Optional;
+import java.util.OptionalLong;
+import java.util.function.LongSupplier;
+
+import org.copperspindle.http.HeaderField;
+import org.copperspindle.http.HttpExchange;
+
+/**
+ * Relays an event stream from upstreams to the caller, one complete event at a time. The response head is sent with
+ * the first event: until then the request can still be retried on another upstream, or answered with an error. After
+ * a broken stream the events of the next upstream continue the same response, without those that the caller already
+ * received.
+ */
+final class EventStreamRelay {
+
+    private final HttpExchange exchange;
+    private final LongSupplier clock;
+    private EventFramer framer = new EventFramer();
+    private Optional<ResponseHead> head = Optional.empty();
+    private boolean started;
+    private OptionalLong lastEventId = OptionalLong.empty();
+    private long eventCount;
+    private boolean gapFound;
+    private OptionalLong firstEventAt = OptionalLong.empty();
+    private long lastEventAt;
+    private long longestPause;
+
+    /**
+     * Creates a relay.
+     *
+     * @param exchange the caller's exchange
+     * @param clock    monotonic time in nanoseconds
+     */
+    EventStreamRelay(HttpExchange exchange, LongSupplier clock) {
+        this.exchange = exchange;
+        this.clock = clock;
+    }
+
+    /** Starts reading the stream of an upstream. The head of the first one becomes the head of the response. */
+    void beginStream(int status, List<HeaderField> fields) {
+        framer = new EventFramer();
+        if (head.isEmpty()) {
+            head = Optional.of(new ResponseHead(status, fields));
+        }
+    }
+
+    /** Discards the head of an upstream that failed before its first event. */
+    void discardHead() {
+        if (!started) {
+            head = Optional.empty();
+        }
+    }
+
+    /** Relays the events that these bytes complete; returns false if the event ids show that events are missing. */
+    boolean accept(byte[] data) {
+        for (StreamEvent event : framer.accept(data)) {
+            if (isDuplicate(event)) {
+                continue;
+            }
+            gapFound |= isGap(event);
+            if (gapFound) {
+                return false;
+            }
+            send(event);
+        }
+        return true;
+    }
+
+    boolean hasStarted() {
+        return started;
+    }
+
+    /** Returns whether the stream ended at an event boundary, without a gap in the event ids. */
+    boolean isComplete() {
+        return !framer.hasPartialEvent() && !gapFound;
+    }
+
+    OptionalLong lastEventId() {
+        return lastEventId;
+    }
+
+    long eventCount() {
+        return eventCount;
+    }
+
+    /** Returns the time at which the first event was relayed; empty if none was. */
+    OptionalLong firstEventAt() {
+        return firstEventAt;
+    }
+
+    /** Returns the longest time between two consecutive events. */
+    long longestPauseNanos() {
+        return longestPause;
+    }
+
+    void finish() {
+        if (!started) {
+            start();
+        }
+        exchange.finish();
+    }
+
+    private void send(StreamEvent event) {
+        if (!started) {
+            start();
+        }
+        eventCount++;
+        recordTime();
+        if (event.id().isPresent()) {
+            lastEventId = event.id();
+        }
+        exchange.write(event.bytes());
+    }
+
+    private void recordTime() {
+        long now = clock.getAsLong();
+        if (firstEventAt.isEmpty()) {
+            firstEventAt = OptionalLong.of(now);
+        } else {
+            longestPause = Math.max(longestPause, now - lastEventAt);
+        }
+        lastEventAt = now;
+    }
+
+    private void start() {
+        started = true;
+        ResponseHead response = head.orElseThrow();
+        exchange.start(response.status(), response.fields());
+    }
+
+    private boolean isDuplicate(StreamEvent event) {
+        return lastEventId.isPresent() && event.id().isPresent() && event.id().getAsLong() <= lastEventId.getAsLong();
+    }
+
+    private boolean isGap(StreamEvent event) {
+        return lastEventId.isPresent()
+                && event.id().isPresent()
+                && event.id().getAsLong() != lastEventId.getAsLong() + 1;
+    }
+
+    private record ResponseHead(int status, List<HeaderField> fields) {}
+}
--- a/library/src/main/java/org/copperspindle/gateway/FirstEventLatencies.java
+++ b/library/src/main/java/org/copperspindle/gateway/FirstEventLatencies.java
@@ -6,31 +6,37 @@
 import org.copperspindle.route.Route;
 
 /**
- * How long the upstreams of each route take from an attempt to the first event, as this node sees it: the end of the
- * shortest way of a request. Prompts of one route take 100 ms, those of another 230 ms on the same engines.
+ * Moving average, by route, of the time from an attempt to its first event, as this node measures it. It is the last
+ * part of the estimated time to first event of a request. On the same engines prompts of one route take 100 ms, those
+ * of another 230 ms.
  */
 final class FirstEventLatencies {
 
-    /** Part of the objective that is assumed before an answer was seen: engines read most prompts in less. */
-    private static final double ASSUMED_PART = 0.1;
+    /** Fraction of the objective that is assumed before the first measurement: engines read most prompts in less. */
+    private static final double INITIAL_FRACTION = 0.1;
 
-    /** Most that counts, as a part of the objective: one engine in trouble must not make every request look late. */
-    private static final double MOST_PART = 0.3;
+    /**
+     * Upper bound of a sample, as a fraction of the objective: one slow engine must not make every request look late.
+     */
+    private static final double MAX_FRACTION = 0.3;
 
-    /** Weight of the newest answer: a mean over the last ten follows a burst of long prompts within seconds. */
+    /**
+     * Weight of the newest sample: an average over about ten samples follows a burst of long prompts within seconds.
+     */
     private static final double WEIGHT = 0.1;
 
     private final Map<String, Double> means = new HashMap<>();
 
-    /** Notes an answer of an upstream. */
-    void seen(Route route, long nanos) {
-        double counted = Math.min(nanos, MOST_PART * objective(route));
-        means.merge(route.name(), counted, (old, newest) -> old + WEIGHT * (newest - old));
+    /** Records the time to first event of an attempt. */
+    void observe(Route route, long nanos) {
+        double sample = Math.min(nanos, MAX_FRACTION * objective(route));
+        means.merge(route.name(), sample, (mean, newest) -> mean + WEIGHT * (newest - mean));
     }
 
-    /** Returns the time that is to be expected, in nanoseconds. */
-    long nanos(Route route) {
-        return means.getOrDefault(route.name(), ASSUMED_PART * objective(route)).longValue();
+    /** Returns the expected time to first event in nanoseconds. */
+    long expectedNanos(Route route) {
+        return means.getOrDefault(route.name(), INITIAL_FRACTION * objective(route))
+                .longValue();
     }
 
     private static double objective(Route route) {
--- a/library/src/main/java/org/copperspindle/gateway/OpenRequests.java
+++ b/library/src/main/java/org/copperspindle/gateway/OpenRequests.java
@@ -8,8 +8,8 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * The requests in progress at a node, for the end of the node: whatever was read from a caller gets an answer or a
- * refusal before the process ends.
+ * The requests in progress at a node. When the node stops, each of them gets a response or a refusal before the
+ * process exits.
  */
 final class OpenRequests {
 
@@ -29,18 +29,18 @@
         return runs.size();
     }
 
-    /** Refuses those that no upstream has got yet: another node can begin them with more time. */
+    /** Refuses the requests that no upstream has received: another node can start them with more time left. */
     void refuseUnsent() {
         List<RequestRun> unsent = runs.stream().filter(RequestRun::isUnsent).toList();
         LOGGER.info("event=stop-refuses open={} unsent={}", runs.size(), unsent.size());
         unsent.forEach(RequestRun::refuseStopping);
     }
 
-    /** Ends the rest: the process is about to end. */
+    /** Aborts the remaining requests because the process is about to exit. */
     void abortAll() {
         if (!runs.isEmpty()) {
             LOGGER.warn("event=stop-ends open={}", runs.size());
         }
-        List.copyOf(runs).forEach(RequestRun::endStopping);
+        List.copyOf(runs).forEach(RequestRun::abortStopping);
     }
 }
--- a/library/src/main/java/org/copperspindle/gateway/PriorWaitEstimator.java
+++ b/library/src/main/java/org/copperspindle/gateway/PriorWaitEstimator.java
@@ -5,33 +5,33 @@
 import java.util.OptionalLong;
 
 /**
- * Estimates how long callers have waited with earlier attempts. A caller names the time that it has left, and nothing else
- * tells a first attempt from a later one.
+ * Estimates how long callers have already waited with earlier attempts. A request states only the caller's remaining
+ * time; nothing else distinguishes a first attempt from a retry.
  */
 final class PriorWaitEstimator {
 
     /**
-     * A caller with less than this part of the longest time that any caller of its route has named was here before: the
-     * quotient of the least and the most patient caller of a route, and a little less. Taken for waiting, their
-     * difference would make first attempts look too late to be served in time.
+     * A caller whose remaining time is below this fraction of the longest one on its route has tried before. The
+     * value is just below the ratio of the shortest to the longest timeout of a route's callers: if that difference
+     * counted as waiting, first attempts would look too late to be served in time.
      */
-    private static final double RETURNED_PART = 0.735;
+    private static final double RETRY_FRACTION = 0.735;
 
-    private final Map<String, Long> longest = new HashMap<>();
+    private final Map<String, Long> longestByRoute = new HashMap<>();
 
     /**
-     * Takes note of a request.
+     * Records the remaining time of a request and estimates the wait before it.
      *
      * @param route          name of its route
-     * @param deadlineMillis how long its caller still waits, if it says so
+     * @param deadlineMillis caller's remaining time, if stated
      * @return milliseconds that the caller has waited before; 0 for a first attempt
      */
     long waitedMillis(String route, OptionalLong deadlineMillis) {
         if (deadlineMillis.isEmpty()) {
             return 0;
         }
-        long left = deadlineMillis.getAsLong();
-        long most = longest.merge(route, left, Math::max);
-        return left < most * RETURNED_PART ? most - left : 0;
+        long remaining = deadlineMillis.getAsLong();
+        long longest = longestByRoute.merge(route, remaining, Math::max);
+        return remaining < longest * RETRY_FRACTION ? longest - remaining : 0;
     }
 }
--- a/library/src/main/java/org/copperspindle/gateway/PromptPart.java
+++ b/library/src/main/java/org/copperspindle/gateway/PromptPart.java
@@ -3,7 +3,7 @@
 /**
  * A part of a prompt that other requests may share.
  *
- * @param id     identity of its text
- * @param tokens its length
+ * @param id     identifies its text
+ * @param tokens length in tokens
  */
 public record PromptPart(String id, int tokens) {}
--- a/library/src/main/java/org/copperspindle/gateway/Refusal.java
+++ b/library/src/main/java/org/copperspindle/gateway/Refusal.java
@@ -13,17 +13,17 @@
 import org.copperspindle.verdict.Verdict;
 
 /**
- * An answer of this node's own in place of an upstream's.
+ * An error response that this node generates itself.
  *
  * @param status     HTTP status
- * @param title      short text for people
+ * @param title      short description for people
  * @param verdict    whether the request may have run, and why it is refused
- * @param retryAfter when a retry has better prospects; only where the request did not run
+ * @param retryAfter suggested delay of a retry; only if the request did not run
  */
 record Refusal(int status, String title, Verdict verdict, Optional<Duration> retryAfter) {
 
-    /** Reason of a request that is held off. */
-    static final String ENDS_UPSTREAMS = "ends-upstreams";
+    /** Reason of the refusal of a quarantined request. */
+    static final String CRASHES_UPSTREAMS = "ends-upstreams";
 
     private static final int BAD_REQUEST = 400;
     private static final int UNAUTHORIZED = 401;
@@ -48,38 +48,42 @@
         return notRun(UNAVAILABLE, reason, title, Optional.of(retryAfter));
     }
 
-    /** All upstreams that could take the request rest, or have named a limit that is used up. */
-    static Refusal inNeed(Duration retryAfter) {
-        return unavailable("upstreams-in-need", "the upstreams of the pool take no more requests now", retryAfter);
+    /** All upstreams that could take the request back off, or have used up their limit. */
+    static Refusal backpressure(Duration retryAfter) {
+        return unavailable("upstreams-in-need", "the upstreams of the pool accept no requests at present", retryAfter);
     }
 
     static Refusal failed(String reason) {
         return new Refusal(
-                BAD_GATEWAY, "the upstream gave no whole answer", new MayHaveRunVerdict(reason), Optional.empty());
+                BAD_GATEWAY, "the upstream gave no complete response", new MayHaveRunVerdict(reason), Optional.empty());
     }
 
     /**
-     * The status is one after which callers don't come back by themselves: any retry would end one more upstream.
+     * A request that crashes upstreams. Callers don't retry by themselves after this status: any retry could crash
+     * one more upstream.
      *
      * @param mayHaveRun whether this attempt of the caller reached an upstream
      */
-    static Refusal endsUpstreams(boolean mayHaveRun) {
-        Verdict verdict = mayHaveRun ? new MayHaveRunVerdict(ENDS_UPSTREAMS) : new NotRunVerdict(ENDS_UPSTREAMS);
-        return new Refusal(BAD_REQUEST, "upstreams ended each time they ran this request", verdict, Optional.empty());
+    static Refusal crashesUpstreams(boolean mayHaveRun) {
+        Verdict verdict = mayHaveRun ? new MayHaveRunVerdict(CRASHES_UPSTREAMS) : new NotRunVerdict(CRASHES_UPSTREAMS);
+        return new Refusal(BAD_REQUEST, "upstreams crashed each time they ran this request", verdict, Optional.empty());
     }
 
     static Refusal timedOut() {
         return new Refusal(
-                GATEWAY_TIMEOUT, "the time of the request is over", new MayHaveRunVerdict("timeout"), Optional.empty());
+                GATEWAY_TIMEOUT,
+                "the deadline of the request has passed",
+                new MayHaveRunVerdict("timeout"),
+                Optional.empty());
     }
 
-    /** Sends it as the answer to a request. */
-    void send(HttpExchange exchange, CallerDialect callers, String requestId) {
+    /** Sends the refusal as the response to a request. */
+    void send(HttpExchange exchange, CallerDialect dialect, String requestId) {
         ProblemDetails details = new ProblemDetails(status, title, verdict, requestId, Optional.empty());
         List<HeaderField> fields = new ArrayList<>();
         fields.add(new HeaderField("Content-Type", ProblemDetails.CONTENT_TYPE));
         details.fields().forEach((name, value) -> fields.add(new HeaderField(name, value)));
-        retryAfter.ifPresent(after -> fields.addAll(callers.retryAfter(after)));
+        retryAfter.ifPresent(delay -> fields.addAll(dialect.retryAfter(delay)));
         exchange.respond(status, fields, details.body());
     }
 
--- a/library/src/main/java/org/copperspindle/gateway/RequestLines.java
+++ b/library/src/main/java/org/copperspindle/gateway/RequestLogger.java
@@ -10,11 +10,11 @@
 import org.copperspindle.measure.DecisionLog;
 
 /**
- * The log lines of one request: what was decided, by what, and how it ended.
+ * Writes the log lines of one request: what was decided, on which values, and how it ended.
  */
-final class RequestLines {
+final class RequestLogger {
 
-    private static final Logger LOGGER = LogManager.getLogger(RequestLines.class);
+    private static final Logger LOGGER = LogManager.getLogger(RequestLogger.class);
 
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
@@ -22,26 +22,26 @@
     private final UpstreamTracker tracker;
     private final AdmittedRequest admitted;
     private final String id;
-    private final long beganAt;
+    private final long admittedAt;
 
     /**
-     * Creates the lines of a request.
+     * Creates the logger of a request.
      *
-     * @param log      bounds how many lines are written
-     * @param tracker  what is under way at upstreams
+     * @param log      bounds the number of lines
+     * @param tracker  counts the calls in flight to upstreams
      * @param admitted the request
      */
-    RequestLines(DecisionLog log, UpstreamTracker tracker, AdmittedRequest admitted) {
+    RequestLogger(DecisionLog log, UpstreamTracker tracker, AdmittedRequest admitted) {
         this.log = log;
         this.tracker = tracker;
         this.admitted = admitted;
         this.id = admitted.request().id();
-        this.beganAt = admitted.times().beganAt();
+        this.admittedAt = admitted.times().admittedAt();
     }
 
-    /** The request was admitted. */
+    /** Logs that the request was admitted. */
     void admitted() {
-        if (!log.takesServed(beganAt)) {
+        if (!log.takesServed(admittedAt)) {
             return;
         }
         GatewayRequest request = admitted.request();
@@ -54,42 +54,42 @@
                 admitted.pool(),
                 admitted.table().version(),
                 admitted.rank(),
-                (admitted.times().endAt() - beganAt) / NANOS_PER_MILLI,
+                (admitted.times().deadlineAt() - admittedAt) / NANOS_PER_MILLI,
                 request.pieces(),
                 request.promptTokens(),
                 request.sharedTokens());
     }
 
     /**
-     * The request begins, begins to be held, or is refused.
+     * Logs that the stages of the request start, or that it is deferred or refused.
      *
-     * @param judgement what the gate says
-     * @param held      true if it was held before; that it is held on leaves no line
-     * @param now       monotonic time in nanoseconds
+     * @param decision    decision of the stage admission
+     * @param wasDeferred true if it was deferred before; no line is written while it stays deferred
+     * @param now         monotonic time in nanoseconds
      */
-    void gate(StageAdmissionDecision judgement, boolean held, long now) {
-        boolean begins = judgement.verdict() == StageAdmissionVerdict.BEGIN;
-        boolean stillHeld = held && judgement.verdict() == StageAdmissionVerdict.HOLD;
-        if (stillHeld || !takes(!begins || held, now)) {
+    void stageDecision(StageAdmissionDecision decision, boolean wasDeferred, long now) {
+        boolean starts = decision.verdict() == StageAdmissionVerdict.BEGIN;
+        boolean stillDeferred = wasDeferred && decision.verdict() == StageAdmissionVerdict.HOLD;
+        if (stillDeferred || !isLogged(!starts || wasDeferred, now)) {
             return;
         }
         LOGGER.info(
                 "event=gate-{} request={} finish_ms={} left_ms={} held={} rank={} in_need={}",
-                judgement.verdict().name().toLowerCase(Locale.ROOT),
+                decision.verdict().name().toLowerCase(Locale.ROOT),
                 id,
-                judgement.finishMillis(),
-                judgement.leftMillis(),
-                judgement.held(),
+                decision.estimatedMillis(),
+                decision.remainingMillis(),
+                decision.deferredCount(),
                 admitted.rank(),
-                judgement.inNeed().orElse(""));
+                decision.underservedRoute().orElse(""));
     }
 
     /**
-     * An attempt goes out.
+     * Logs that an attempt was sent.
      *
-     * @param number      1 for the first
-     * @param upstream    where to
-     * @param resumeAfter id of the event after which it goes on
+     * @param number      number of the attempt, from 1
+     * @param upstream    target of the attempt
+     * @param resumeAfter id of the event after which the stream resumes
      * @param now         monotonic time in nanoseconds
      */
     void attemptSent(int number, UpstreamRecord upstream, Optional<String> resumeAfter, long now) {
@@ -102,21 +102,21 @@
                 number,
                 upstream.id(),
                 tracker.inFlight(upstream.id()),
-                (now - beganAt) / NANOS_PER_MILLI,
+                (now - admittedAt) / NANOS_PER_MILLI,
                 resumeAfter.orElse(""));
     }
 
     /**
-     * The request has ended.
+     * Logs the end of the request.
      *
-     * @param outcome  in which way
+     * @param outcome  how it ended
      * @param failed   true unless it was served or its caller left
-     * @param progress what was done for it
-     * @param relay    what its caller got
+     * @param progress the attempts and stage runs of the request
+     * @param relay    what was relayed to the caller
      * @param now      monotonic time in nanoseconds
      */
-    void ended(String outcome, boolean failed, RequestProgress progress, AnswerRelay relay, long now) {
-        if (!takes(failed, now)) {
+    void ended(String outcome, boolean failed, RequestProgress progress, EventStreamRelay relay, long now) {
+        if (!isLogged(failed, now)) {
             return;
         }
         LOGGER.info(
@@ -128,19 +128,19 @@
                 progress.attempts(),
                 progress.unsent(),
                 progress.stageRuns(),
-                relay.events(),
-                firstEventMillis(relay.firstAt()),
+                relay.eventCount(),
+                firstEventMillis(relay.firstEventAt()),
                 relay.longestPauseNanos() / NANOS_PER_MILLI,
-                (now - beganAt) / NANOS_PER_MILLI,
+                (now - admittedAt) / NANOS_PER_MILLI,
                 admitted.route().objective().toMillis(),
                 progress.mayHaveRun());
     }
 
-    private boolean takes(boolean failed, long now) {
+    private boolean isLogged(boolean failed, long now) {
         return failed ? log.takesFailed(now) : log.takesServed(now);
     }
 
     private String firstEventMillis(OptionalLong at) {
-        return at.isEmpty() ? "" : Long.toString((at.getAsLong() - beganAt) / NANOS_PER_MILLI);
+        return at.isEmpty() ? "" : Long.toString((at.getAsLong() - admittedAt) / NANOS_PER_MILLI);
     }
 }
--- a/library/src/main/java/org/copperspindle/gateway/RequestRun.java
+++ b/library/src/main/java/org/copperspindle/gateway/RequestRun.java
@@ -19,21 +19,21 @@
 import org.copperspindle.time.TimerSubscription;
 
 /**
- * One request from its admission to its answer: stages first, then attempts at upstreams, one at a time. An attempt is
- * followed by another only if it is proved not to have run, or if the request is idempotent.
+ * Processes one request from its admission to its response: the stages first, then attempts at upstreams, one at a
+ * time. A failed attempt is retried only if it provably did not run, or if the route is idempotent.
  */
 final class RequestRun implements StageRun.Listener {
 
     /** Attempts that reached no upstream cost nothing there, but each costs the caller up to a connection timeout. */
     private static final int MAX_UNSENT = 3;
 
-    /** Stages are made anew once: results that vanish twice mean that their makers are in trouble. */
+    /** Stages are run again once: results that are lost twice mean that their producers have a fault. */
     private static final int MAX_STAGE_RUNS = 2;
 
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    /** Held requests are judged again this often: pools tell their waits about as often. */
-    private static final long HELD_LOOK_NANOS = Duration.ofMillis(75).toNanos();
+    /** Interval for evaluating a deferred request again; the pools report their waits about as often. */
+    private static final long DEFERRED_CHECK_NANOS = Duration.ofMillis(75).toNanos();
 
     private static final int SERVER_ERROR = 500;
 
@@ -43,27 +43,27 @@
     private final GatewayRequest request;
     private final Route route;
     private final String pool;
-    private final long beganAt;
-    private final long endAt;
-    private final AnswerRelay relay;
-    private final RequestLines lines;
-    private final TrackedRequest watched;
+    private final long admittedAt;
+    private final long deadlineAt;
+    private final EventStreamRelay relay;
+    private final RequestLogger requestLogger;
+    private final TrackedRequest tracked;
     private final Set<String> tried = new HashSet<>();
-    private final UpstreamAttempt.Owner owner = new AttemptOwner();
+    private final UpstreamAttempt.Listener attemptListener = new AttemptListener();
     private Optional<StageRun> stages = Optional.empty();
-    private Optional<AttemptTurn> turn = Optional.empty();
+    private Optional<UpstreamSearch> search = Optional.empty();
     private Optional<UpstreamAttempt> attempt = Optional.empty();
     private Optional<UpstreamRun> lastRun = Optional.empty();
     private TimerSubscription timeout = () -> {};
-    private long begunAt;
-    private long reckonedNanos;
+    private long stagesStartedAt;
+    private long estimatedStagesNanos;
     private long firstEventAt;
     private int stageRuns;
     private int sent;
     private int unsent;
-    private boolean held;
+    private boolean deferred;
     private boolean mayHaveRun;
-    private boolean over;
+    private boolean ended;
 
     RequestRun(GatewayContext context, HttpExchange exchange, AdmittedRequest admitted) {
         this.context = context;
@@ -72,46 +72,46 @@
         this.request = admitted.request();
         this.route = admitted.route();
         this.pool = admitted.pool();
-        this.beganAt = admitted.times().beganAt();
-        this.endAt = admitted.times().endAt();
-        this.relay = new AnswerRelay(exchange, context.timers()::nanoTime);
-        this.watched = admitted.watched();
-        this.lines = new RequestLines(context.log(), context.tracker(), admitted);
+        this.admittedAt = admitted.times().admittedAt();
+        this.deadlineAt = admitted.times().deadlineAt();
+        this.relay = new EventStreamRelay(exchange, context.timers()::nanoTime);
+        this.tracked = admitted.tracked();
+        this.requestLogger = new RequestLogger(context.log(), context.tracker(), admitted);
     }
 
-    /** Begins; the answer comes later. */
+    /** Starts processing; the response is sent later. */
     void start() {
         context.counters().recordStart();
         context.openRequests().add(this);
-        context.retryBudget().recordRequest(pool, beganAt);
-        lines.admitted();
-        timeout = context.timers().schedule(endAt - context.timers().nanoTime(), this::timedOut);
+        context.retryBudget().recordRequest(pool, admittedAt);
+        requestLogger.admitted();
+        timeout = context.timers().schedule(deadlineAt - context.timers().nanoTime(), this::timedOut);
         exchange.onClosed(this::callerLeft);
-        if (over) {
+        if (ended) {
             return;
         }
-        if (context.quarantine().isQuarantined(watched)) {
-            holdOff();
+        if (context.quarantine().isQuarantined(tracked)) {
+            refuseQuarantined();
         } else if (route.stages().isEmpty()) {
-            attempt();
+            startAttempt();
         } else {
-            passGate();
+            admitToStages();
         }
     }
 
-    /** Says whether no upstream has got the request. */
+    /** Returns whether no upstream has received the request. */
     boolean isUnsent() {
         return attempt.isEmpty() && !mayHaveRun && !relay.hasStarted();
     }
 
-    /** Refuses a request that has not run, because this node stops. */
+    /** Refuses a request that has not run because this node stops. */
     void refuseStopping() {
         refuse(unavailable("stopping", "this node stops"));
     }
 
-    /** Ends a request for good, because the process is about to end. */
-    void endStopping() {
-        if (over) {
+    /** Ends a request because the process is about to exit. */
+    void abortStopping() {
+        if (ended) {
             return;
         }
         if (isUnsent()) {
@@ -120,7 +120,7 @@
         }
         attempt.ifPresent(a -> a.abort("stopping"));
         if (relay.hasStarted()) {
-            breakOff("stopping");
+            abortResponse("stopping");
         } else {
             refuse(Refusal.failed("stopping"));
         }
@@ -130,19 +130,19 @@
     public void onStagesDone() {
         if (stageRuns == 1 && !route.stages().isEmpty()) {
             long now = context.timers().nanoTime();
-            context.stageAdmission().ran(route, reckonedNanos, now - begunAt, now);
+            context.stageAdmission().recordStages(route, estimatedStagesNanos, now - stagesStartedAt, now);
         }
-        attempt();
+        startAttempt();
     }
 
     @Override
     public void onMissed(int stage, MissReason reason) {
         if (reason == MissReason.INPUT_GONE && stageRuns < MAX_STAGE_RUNS) {
-            beginAgain();
+            restartStages();
             return;
         }
         if (relay.hasStarted()) {
-            breakOff("stage-" + stage + "-missed");
+            abortResponse("stage-" + stage + "-missed");
             return;
         }
         if (mayHaveRun) {
@@ -153,81 +153,81 @@
                 "stage-" + stage + "-" + reason.name().toLowerCase(Locale.ROOT), "a stage could not be run in time"));
     }
 
-    private void passGate() {
-        if (over) {
+    private void admitToStages() {
+        if (ended) {
             return;
         }
         if (context.isolation().isIsolated()) {
-            // Packing calls by itself, it would get into the way of the nodes that go on without it.
-            refuse(unavailable("cut-off", "this node does not reach the others"));
+            // A partitioned node would batch calls by itself and compete with the nodes that work without it.
+            refuse(unavailable("cut-off", "this node cannot reach the other nodes"));
             return;
         }
         long now = context.timers().nanoTime();
-        OptionalLong tooLate = AttemptTurn.tooLateNanos(context, admitted, tried, now);
-        if (tooLate.isPresent()) {
-            // Its stages would be made for nothing.
-            refuse(Refusal.inNeed(context.retryAfterDelays().after(tooLate.getAsLong())));
+        OptionalLong backpressure = UpstreamSearch.backpressureNanos(context, admitted, tried, now);
+        if (backpressure.isPresent()) {
+            // Its stages would run in vain.
+            refuse(Refusal.backpressure(context.retryAfterDelays().after(backpressure.getAsLong())));
             return;
         }
-        StageAdmissionDecision judgement = context.stageAdmission().judge(admitted, held, now);
-        StageAdmissionVerdict verdict = judgement.verdict();
-        lines.gate(judgement, held, now);
+        StageAdmissionDecision decision = context.stageAdmission().decide(admitted, deferred, now);
+        StageAdmissionVerdict verdict = decision.verdict();
+        requestLogger.stageDecision(decision, deferred, now);
         if (verdict == StageAdmissionVerdict.HOLD) {
-            hold(true);
-            context.timers().schedule(HELD_LOOK_NANOS, this::passGate);
+            setDeferred(true);
+            context.timers().schedule(DEFERRED_CHECK_NANOS, this::admitToStages);
             return;
         }
-        hold(false);
+        setDeferred(false);
         if (verdict == StageAdmissionVerdict.BEGIN) {
-            begunAt = now;
-            reckonedNanos = judgement.reckonedNanos();
+            stagesStartedAt = now;
+            estimatedStagesNanos = decision.estimatedStagesNanos();
             runStages();
         } else {
             refuse(Refusal.unavailable(
                     "stages-full",
-                    "the stages have no room for the request in its time",
+                    "the stages have no capacity for the request in its time",
                     context.retryAfterDelays()
-                            .afterBurst(endAt - context.timers().nanoTime())));
+                            .afterBurst(deadlineAt - context.timers().nanoTime())));
         }
     }
 
-    private void hold(boolean holds) {
-        if (held != holds) {
-            held = holds;
-            context.stageAdmission().held(holds ? 1 : -1);
+    private void setDeferred(boolean defer) {
+        if (deferred != defer) {
+            deferred = defer;
+            context.stageAdmission().adjustDeferred(defer ? 1 : -1);
         }
     }
 
     /**
-     * Has all results made once more. Results are forgotten where stages wait for seconds; made again at once, they would
-     * add to the load that they were lost in, so that a request of which nothing ran passes the gate again.
+     * Runs all stages again. Producers drop results when stages wait for seconds. An immediate second run would add
+     * to the load that caused the loss, so a request that no upstream has received passes the stage admission again.
      */
-    private void beginAgain() {
+    private void restartStages() {
         if (mayHaveRun || relay.hasStarted()) {
             runStages();
             return;
         }
-        stages.ifPresent(StageRun::end);
-        passGate();
+        stages.ifPresent(StageRun::releaseAll);
+        admitToStages();
     }
 
-    private void runStagesAgain() {
+    private void rerunLostStages() {
         if (stageRuns < MAX_STAGE_RUNS) {
             runStages();
         } else if (relay.hasStarted()) {
-            breakOff("stages-lost");
+            abortResponse("stages-lost");
         } else {
             refuse(mayHaveRun ? Refusal.failed("stages-lost") : unavailable("stages-lost", "stage results were lost"));
         }
     }
 
     private void runStages() {
-        stages.ifPresent(StageRun::end);
+        stages.ifPresent(StageRun::releaseAll);
         stageRuns++;
         StageRun run = new StageRun(
                 admitted,
-                meantDomain(),
-                context.firstEventLatencies().nanos(route),
+                likelyFailureDomain(),
+                context.firstEventLatencies().expectedNanos(route),
                 context.batches(),
                 context.timers(),
                 this);
@@ -236,10 +236,11 @@
     }
 
     /**
-     * Returns the failure domain of the upstream that the request would go to now. Its large stage results are made there if
-     * that costs no time: what crosses failure domains is what stage work costs most.
+     * Returns the failure domain of the upstream that the request would be sent to now. Its large stage results are
+     * produced there if that costs no time, because traffic between failure domains is the largest cost of stage
+     * work.
      */
-    private Optional<String> meantDomain() {
+    private Optional<String> likelyFailureDomain() {
         return choose(StageInputs.NONE, context.timers().nanoTime()).map(UpstreamRecord::failureDomain);
     }
 
@@ -247,174 +248,174 @@
         return admitted.table().findPool(pool).flatMap(p -> context.chooser().choose(p, request, inputs, tried, now));
     }
 
-    private void attempt() {
-        if (over) {
+    private void startAttempt() {
+        if (ended) {
             return;
         }
-        if (context.quarantine().isQuarantined(watched)) {
-            // Upstreams ended under it while its stages ran.
-            holdOff();
+        if (context.quarantine().isQuarantined(tracked)) {
+            // The request was quarantined while its stages ran.
+            refuseQuarantined();
             return;
         }
-        if (stages.filter(StageRun::isOver).isPresent()) {
-            // The results were given up; another attempt needs new ones.
-            runStagesAgain();
+        if (stages.filter(StageRun::isReleased).isPresent()) {
+            // The results were released; another attempt needs new ones.
+            rerunLostStages();
             return;
         }
         StageInputs inputs = stages.map(StageRun::inputs).orElse(StageInputs.NONE);
-        turn = Optional.of(new AttemptTurn(context, admitted, tried, inputs, new TurnOwner()));
-        turn.get().seek();
+        search = Optional.of(new UpstreamSearch(context, admitted, tried, inputs, new SearchListener()));
+        search.get().seek();
     }
 
     private void send(UpstreamRecord upstream, long now) {
         tried.add(upstream.id());
         context.coldAdmission().recordSend(upstream.id(), now);
         sent++;
-        context.counters().recordAttempt(route.name(), sent > 1, now - beganAt);
-        Optional<String> resumeAfter = relay.lastId().isPresent()
-                ? Optional.of(Long.toString(relay.lastId().getAsLong()))
+        context.counters().recordAttempt(route.name(), sent > 1, now - admittedAt);
+        Optional<String> resumeAfter = relay.lastEventId().isPresent()
+                ? Optional.of(Long.toString(relay.lastEventId().getAsLong()))
                 : request.resumeAfter();
-        AttemptSpec order = new AttemptSpec(
+        AttemptSpec spec = new AttemptSpec(
                 request,
                 upstream,
-                Math.max(1, (endAt - now) / NANOS_PER_MILLI),
+                Math.max(1, (deadlineAt - now) / NANOS_PER_MILLI),
                 admitted.account().map(ClientAccount::name),
                 stages.map(StageRun::results),
                 resumeAfter,
                 admitted.rank(),
                 connectionUse());
-        lines.attemptSent(sent, upstream, resumeAfter, now);
-        UpstreamRun run = context.quarantine().startRun(watched, upstream, lastRun);
+        requestLogger.attemptSent(sent, upstream, resumeAfter, now);
+        UpstreamRun run = context.quarantine().startRun(tracked, upstream, lastRun);
         lastRun = Optional.of(run);
-        UpstreamAttempt next = new UpstreamAttempt(context, admitted, run, sent, relay, owner);
+        UpstreamAttempt next = new UpstreamAttempt(context, admitted, run, sent, relay, attemptListener);
         attempt = Optional.of(next);
-        next.send(order);
-        stages.ifPresent(made -> giveUpResults(made, next));
+        next.send(spec);
+        stages.ifPresent(stageRun -> releaseFetchedResults(stageRun, next));
     }
 
     /**
-     * Says on which connection the next attempt may go out. Repeats and suspected requests get new ones: a kept connection may have
-     * been dead before, and its loss would not tell whether the request ended one more upstream.
+     * Returns on which connection the next attempt may be sent. Retries and suspected requests get a new connection:
+     * a kept one may have been stale, and its loss would not tell whether the request crashed one more upstream.
      */
     private ConnectionUse connectionUse() {
-        boolean maySeeStale =
-                route.isIdempotent() && sent == 1 && !context.quarantine().isSuspected(watched);
-        return maySeeStale ? ConnectionUse.KEPT : ConnectionUse.NEW;
+        boolean allowStale =
+                route.isIdempotent() && sent == 1 && !context.quarantine().isSuspected(tracked);
+        return allowStale ? ConnectionUse.KEPT : ConnectionUse.NEW;
     }
 
     /**
-     * Gives the stage results up while the upstream reads the prompt, before which it has fetched them. Kept until the first
-     * event, they would leave calls of the pool without room: long prompts make engines slow just when many requests end
-     * their stages.
+     * Releases the stage results once the upstream has fetched them, which it does before it reads the prompt. Kept
+     * until the first event, they would leave no memory for other calls of the pool: long prompts slow the engines
+     * down while many requests finish their stages.
      */
-    private void giveUpResults(StageRun run, UpstreamAttempt reader) {
+    private void releaseFetchedResults(StageRun run, UpstreamAttempt reader) {
         context.timers().schedule(run.fetchNanos(context.fetchTime()), () -> {
             if (attempt.filter(a -> a == reader).isPresent()) {
-                run.end();
+                run.releaseAll();
             }
         });
     }
 
-    /** What follows an attempt that is proved not to have run. */
-    private void afterNotRun(String reason, boolean reached) {
+    /** Handles an attempt that provably did not run. */
+    private void handleNotRun(String reason, boolean reached) {
         if (!reached) {
             sent--;
             unsent++;
         }
-        boolean mayTry = reached ? sent < route.maxAttempts() && takeRepeat() : unsent < MAX_UNSENT;
-        if (mayTry) {
-            attempt();
+        boolean retry = reached ? sent < route.maxAttempts() && acquireRetry() : unsent < MAX_UNSENT;
+        if (retry) {
+            startAttempt();
         } else if (relay.hasStarted()) {
-            breakOff(reason);
+            abortResponse(reason);
         } else if (mayHaveRun) {
             refuse(Refusal.failed(reason));
         } else {
-            refuse(unavailable(reason, "the upstream did not take the request"));
+            refuse(unavailable(reason, "the upstream did not accept the request"));
         }
     }
 
-    /** What follows an attempt that ran or may have run, and gave no whole answer. */
-    private void afterFailure(String reason) {
+    /** Handles an attempt that ran or may have run, without a complete response. */
+    private void handleFailure(String reason) {
         mayHaveRun = true;
-        if (context.quarantine().isQuarantined(watched)) {
-            holdOff();
-        } else if (route.isIdempotent() && sent < route.maxAttempts() && takeRepeat()) {
-            relay.forgetHead();
-            attempt();
+        if (context.quarantine().isQuarantined(tracked)) {
+            refuseQuarantined();
+        } else if (route.isIdempotent() && sent < route.maxAttempts() && acquireRetry()) {
+            relay.discardHead();
+            startAttempt();
         } else if (relay.hasStarted()) {
-            breakOff(reason);
+            abortResponse(reason);
         } else {
             refuse(Refusal.failed(reason));
         }
     }
 
-    private boolean takeRepeat() {
+    private boolean acquireRetry() {
         return context.retryBudget().tryAcquire(pool, context.timers().nanoTime());
     }
 
     private void timedOut() {
-        if (over) {
+        if (ended) {
             return;
         }
         attempt.ifPresent(a -> a.abort("timeout"));
         if (relay.hasStarted()) {
-            breakOff("timeout");
+            abortResponse("timeout");
         } else if (mayHaveRun || attempt.isPresent()) {
             refuse(Refusal.timedOut());
         } else {
-            refuse(unavailable("timeout", "the time of the request is over"));
+            refuse(unavailable("timeout", "the deadline of the request has passed"));
         }
     }
 
     private void callerLeft() {
-        if (over) {
+        if (ended) {
             return;
         }
         attempt.ifPresent(a -> a.abort("caller-left"));
-        end("caller-left", false);
+        finish("caller-left", false);
     }
 
-    private void breakOff(String reason) {
+    private void abortResponse(String reason) {
         exchange.breakOff();
-        end("broken-" + reason, true);
+        finish("broken-" + reason, true);
     }
 
-    private void holdOff() {
+    private void refuseQuarantined() {
         if (relay.hasStarted()) {
-            breakOff(Refusal.ENDS_UPSTREAMS);
+            abortResponse(Refusal.CRASHES_UPSTREAMS);
         } else {
-            refuse(Refusal.endsUpstreams(mayHaveRun));
+            refuse(Refusal.crashesUpstreams(mayHaveRun));
         }
     }
 
     private void refuse(Refusal refusal) {
         refusal.send(exchange, context.callers(), request.id());
-        end(refusal.verdict().reason(), true);
+        finish(refusal.verdict().reason(), true);
     }
 
-    private void end(String outcome, boolean failed) {
-        over = true;
-        hold(false);
+    private void finish(String outcome, boolean failed) {
+        ended = true;
+        setDeferred(false);
         context.openRequests().remove(this);
         timeout.cancel();
-        turn.ifPresent(AttemptTurn::cancel);
-        stages.ifPresent(StageRun::end);
+        search.ifPresent(UpstreamSearch::cancel);
+        stages.ifPresent(StageRun::releaseAll);
         long now = context.timers().nanoTime();
-        context.counters().recordEnd(route.name(), admitted.accountName(), outcome, now - beganAt);
-        lines.ended(outcome, failed, new RequestProgress(sent, unsent, stageRuns, mayHaveRun), relay, now);
+        context.counters().recordEnd(route.name(), admitted.accountName(), outcome, now - admittedAt);
+        requestLogger.ended(outcome, failed, new RequestProgress(sent, unsent, stageRuns, mayHaveRun), relay, now);
     }
 
     private Refusal unavailable(String reason, String title) {
         return Refusal.unavailable(reason, title, context.retryAfterDelays().soon());
     }
 
-    /** What follows from the search for an upstream. */
-    private final class TurnOwner implements AttemptTurn.Listener {
+    /** Handles the result of the search for an upstream. */
+    private final class SearchListener implements UpstreamSearch.Listener {
         @Override
-        public void onTurn(UpstreamRecord upstream) {
-            if (context.quarantine().isQuarantined(watched)) {
-                // Upstreams ended under it while it waited.
-                holdOff();
+        public void onUpstreamSelected(UpstreamRecord upstream) {
+            if (context.quarantine().isQuarantined(tracked)) {
+                // The request was quarantined while it waited.
+                refuseQuarantined();
             } else {
                 send(upstream, context.timers().nanoTime());
             }
@@ -423,60 +424,60 @@
         @Override
         public void onNoUpstream(OptionalLong freeNanos) {
             if (relay.hasStarted()) {
-                breakOff("no-upstream");
+                abortResponse("no-upstream");
             } else if (mayHaveRun) {
                 refuse(Refusal.failed("no-other-upstream"));
             } else if (freeNanos.isPresent()) {
-                refuse(Refusal.inNeed(context.retryAfterDelays().after(freeNanos.getAsLong())));
+                refuse(Refusal.backpressure(context.retryAfterDelays().after(freeNanos.getAsLong())));
             } else {
                 refuse(unavailable("no-upstream", "no upstream of the pool can take the request"));
             }
         }
     }
 
-    /** What follows from how an attempt went. */
-    private final class AttemptOwner implements UpstreamAttempt.Owner {
+    /** Handles the progress and the end of an attempt. */
+    private final class AttemptListener implements UpstreamAttempt.Listener {
         @Override
         public void onFirstEvent(long tookNanos) {
-            // The upstream has read its inputs before its first event.
-            stages.ifPresent(StageRun::end);
+            // An upstream fetches its inputs before it sends the first event.
+            stages.ifPresent(StageRun::releaseAll);
             context.fetchTime().recordSuccess();
-            context.firstEventLatencies().seen(route, tookNanos);
+            context.firstEventLatencies().observe(route, tookNanos);
             firstEventAt = context.timers().nanoTime();
         }
 
         @Override
         public void onStreamed() {
             attempt = Optional.empty();
-            context.streamDurations().seen(route, context.timers().nanoTime() - firstEventAt);
+            context.streamDurations().observe(route, context.timers().nanoTime() - firstEventAt);
             relay.finish();
-            end("streamed", false);
+            finish("streamed", false);
         }
 
         @Override
-        public void onAnswer(DirectHead head, byte[] body) {
+        public void onResponse(DirectHead head, byte[] body) {
             attempt = Optional.empty();
             if (relay.hasStarted()) {
-                // The stream was to go on here; the caller can't be given another answer in the middle of it.
-                afterFailure("upstream-status-" + head.status());
-            } else if (head.status() >= SERVER_ERROR && route.isIdempotent() && mayRepeat()) {
-                afterFailure("upstream-status-" + head.status());
+                // The attempt was to resume the stream; the response to the caller has already started.
+                handleFailure("upstream-status-" + head.status());
+            } else if (head.status() >= SERVER_ERROR && route.isIdempotent() && mayRetry()) {
+                handleFailure("upstream-status-" + head.status());
             } else {
                 exchange.respond(head.status(), context.upstreams().callerFields(head), body);
-                end("status-" + head.status(), head.status() >= SERVER_ERROR);
+                finish("status-" + head.status(), head.status() >= SERVER_ERROR);
             }
         }
 
         @Override
         public void onNotRun(String reason, boolean reached) {
             attempt = Optional.empty();
-            afterNotRun(reason, reached);
+            handleNotRun(reason, reached);
         }
 
         @Override
         public void onInputsLost(String upstream) {
             attempt = Optional.empty();
-            if (stages.filter(StageRun::isOver).isPresent()) {
+            if (stages.filter(StageRun::isReleased).isPresent()) {
                 context.fetchTime().recordEarlyRelease();
             }
             if (stageRuns < MAX_STAGE_RUNS) {
@@ -484,20 +485,20 @@
                 tried.remove(upstream);
                 runStages();
             } else {
-                afterNotRun("inputs-lost", true);
+                handleNotRun("inputs-lost", true);
             }
         }
 
         @Override
         public void onFailure(String reason) {
             attempt = Optional.empty();
-            // The caller may have left while it was found out whether the upstream ended.
-            if (!over) {
-                afterFailure(reason);
+            // The caller may have left while the quarantine checked whether the upstream crashed.
+            if (!ended) {
+                handleFailure(reason);
             }
         }
 
-        private boolean mayRepeat() {
+        private boolean mayRetry() {
             return sent < route.maxAttempts()
                     && context.retryBudget().remaining(pool, context.timers().nanoTime()) >= 1;
         }
--- a/library/src/main/java/org/copperspindle/gateway/RequestTimes.java
+++ b/library/src/main/java/org/copperspindle/gateway/RequestTimes.java
@@ -7,34 +7,35 @@
 import org.copperspindle.route.RouteKind;
 
 /**
- * The instants that matter to one request, on this node's monotonic clock in nanoseconds.
+ * Start, objective and deadlines of one request, on this node's monotonic clock in nanoseconds.
  *
- * @param beganAt     when it was admitted
- * @param objectiveAt until when an answer is worth most
- * @param endAt       when its time is over
- * @param patienceAt  until when a first event or the answer must have come: later, its caller has left, or leaves before the stream ends
- * @param returned    whether its caller was refused before and has come back
+ * @param admittedAt      when it was admitted
+ * @param objectiveAt     latency objective of the first event
+ * @param deadlineAt      when its time is over
+ * @param callerTimeoutAt latest time for the first event or the response; after that the caller has left, or leaves
+ *     before the stream ends
+ * @param retried         whether the caller was refused before and has come back
  */
-record RequestTimes(long beganAt, long objectiveAt, long endAt, long patienceAt, boolean returned) {
+record RequestTimes(long admittedAt, long objectiveAt, long deadlineAt, long callerTimeoutAt, boolean retried) {
 
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    /** Callers of streams leave after so many times the objective without an event. */
-    private static final int OBJECTIVES = 4;
+    /** Callers of streams leave after this multiple of the objective without an event. */
+    private static final int CALLER_TIMEOUT_OBJECTIVES = 4;
 
-    /** Or after so many times the longest pause. */
-    private static final int PAUSES = 8;
+    /** They wait for at least this multiple of the longest event gap of the route. */
+    private static final int CALLER_TIMEOUT_EVENT_GAPS = 8;
 
-    /** But not before this. */
-    private static final long SHORTEST_PATIENCE_NANOS = Duration.ofSeconds(2).toNanos();
+    /** Shortest time after which callers of streams leave. */
+    private static final long MIN_CALLER_TIMEOUT_NANOS = Duration.ofSeconds(2).toNanos();
 
     /**
-     * Works the instants out.
+     * Computes the times of a request.
      *
      * @param route          route of the request
      * @param deadlineMillis how long the caller waits
-     * @param waitedMillis   how long it has waited already, with earlier attempts
-     * @param streamNanos    how long the stream will take after its first event; 0 if that is not known
+     * @param waitedMillis   how long it has already waited, with earlier attempts
+     * @param streamNanos    expected duration of the stream after its first event; 0 if unknown
      * @param now            monotonic time in nanoseconds
      */
     static RequestTimes of(Route route, OptionalLong deadlineMillis, long waitedMillis, long streamNanos, long now) {
@@ -42,17 +43,17 @@
         long time =
                 deadlineMillis.isPresent() ? Math.min(timeout, deadlineMillis.getAsLong() * NANOS_PER_MILLI) : timeout;
         long objectiveAt = now + route.objective().toNanos() - waitedMillis * NANOS_PER_MILLI;
-        long patience = Math.min(time - streamNanos, patienceNanos(route));
-        return new RequestTimes(now, objectiveAt, now + time, now + patience, waitedMillis > 0);
+        long callerTimeNanos = Math.min(time - streamNanos, callerTimeoutNanos(route));
+        return new RequestTimes(now, objectiveAt, now + time, now + callerTimeNanos, waitedMillis > 0);
     }
 
-    private static long patienceNanos(Route route) {
+    private static long callerTimeoutNanos(Route route) {
         if (route.kind() != RouteKind.STREAM) {
             return Long.MAX_VALUE;
         }
         long longest = Math.max(
-                OBJECTIVES * route.objective().toNanos(),
-                PAUSES * route.maxEventGap().toNanos());
-        return Math.max(SHORTEST_PATIENCE_NANOS, longest);
+                CALLER_TIMEOUT_OBJECTIVES * route.objective().toNanos(),
+                CALLER_TIMEOUT_EVENT_GAPS * route.maxEventGap().toNanos());
+        return Math.max(MIN_CALLER_TIMEOUT_NANOS, longest);
     }
 }
--- a/library/src/main/java/org/copperspindle/gateway/RetryAfterDelays.java
+++ b/library/src/main/java/org/copperspindle/gateway/RetryAfterDelays.java
@@ -4,20 +4,21 @@
 import java.util.random.RandomGenerator;
 
 /**
- * When refused callers should come back, spread so that they don't come together.
+ * Delays after which refused callers should retry, randomized so that they don't retry at the same time.
  */
 final class RetryAfterDelays {
 
-    /** Shortest time after which a caller should come back where another upstream or node may serve it, and the spread. */
-    private static final long SOON_MILLIS = 250;
+    /** Minimum delay and width of the random part where another upstream or node may serve the caller. */
+    private static final long MIN_DELAY_MILLIS = 250;
 
     /**
-     * Part of the time that a caller has left, after which it should come back where stage pools are full, and the part
-     * over which callers are spread. Bursts last for several seconds; the rest of the time is enough for a whole run.
+     * Fraction of the caller's remaining time after which it should retry when the stage pools are full, and the
+     * fraction over which the retries are spread. Bursts last for several seconds; the rest of the time is enough for
+     * a complete run.
      */
-    private static final double BURST_SHARE = 0.25;
+    private static final double BURST_DELAY_FRACTION = 0.25;
 
-    private static final double BURST_SPREAD = 0.08;
+    private static final double BURST_SPREAD_FRACTION = 0.08;
 
     private final RandomGenerator random;
 
@@ -25,19 +26,19 @@
         this.random = random;
     }
 
-    /** Returns a time after which another try may go better. */
+    /** Returns a delay after which a retry may reach another upstream or node. */
     Duration soon() {
-        return Duration.ofMillis(SOON_MILLIS + random.nextLong(SOON_MILLIS));
+        return Duration.ofMillis(MIN_DELAY_MILLIS + random.nextLong(MIN_DELAY_MILLIS));
     }
 
-    /** Returns a time after which there may be room that is known to be taken for so long. */
-    Duration after(long takenNanos) {
-        return Duration.ofNanos(takenNanos).plus(soon());
+    /** Returns a delay for a retry when all capacity is known to be in use for the given time. */
+    Duration after(long busyNanos) {
+        return Duration.ofNanos(busyNanos).plus(soon());
     }
 
-    /** Returns a time after which a burst may be over, for a caller that has so much time left. */
-    Duration afterBurst(long leftNanos) {
-        double share = BURST_SHARE + BURST_SPREAD * random.nextDouble();
-        return Duration.ofNanos((long) (leftNanos * share));
+    /** Returns a delay after which a burst may be over, for a caller with the given remaining time. */
+    Duration afterBurst(long remainingNanos) {
+        double fraction = BURST_DELAY_FRACTION + BURST_SPREAD_FRACTION * random.nextDouble();
+        return Duration.ofNanos((long) (remainingNanos * fraction));
     }
 }
--- a/library/src/main/java/org/copperspindle/gateway/SignalReadingPort.java
+++ b/library/src/main/java/org/copperspindle/gateway/SignalReadingPort.java
@@ -11,15 +11,15 @@
 import org.copperspindle.time.TimerService;
 
 /**
- * Sends calls, and reads in the head of each answer what its upstream says of itself. All calls of a node go through it, so
- * that no kind of call and no kind of answer is left out.
+ * An {@link UpstreamPort} that reads the limit, backoff and shutdown signals in the head of each response. All calls
+ * of a node go through it, so that no kind of call or response is left out.
  */
 final class SignalReadingPort implements UpstreamPort {
 
     private final UpstreamPort port;
     private final UpstreamDialect dialect;
     private final UpstreamLimits limits;
-    private final UpstreamBackoffs rests;
+    private final UpstreamBackoffs backoffs;
     private final DirectoryGossip gossip;
     private final TimerService timers;
 
@@ -27,29 +27,29 @@
             UpstreamPort port,
             UpstreamDialect dialect,
             UpstreamLimits limits,
-            UpstreamBackoffs rests,
+            UpstreamBackoffs backoffs,
             DirectoryGossip gossip,
             TimerService timers) {
         this.port = port;
         this.dialect = dialect;
         this.limits = limits;
-        this.rests = rests;
+        this.backoffs = backoffs;
         this.gossip = gossip;
         this.timers = timers;
     }
 
     @Override
     public CallHandle call(DirectCall call, DirectListener listener) {
-        return port.call(call, new Reader(call, listener, timers.nanoTime()));
+        return port.call(call, new SignalReader(call, listener, timers.nanoTime()));
     }
 
-    /** Reads one answer and passes it on. */
-    private final class Reader implements DirectListener {
+    /** Reads the signals of one response and forwards it. */
+    private final class SignalReader implements DirectListener {
         private final DirectCall call;
         private final DirectListener listener;
         private final long sentAt;
 
-        private Reader(DirectCall call, DirectListener listener, long sentAt) {
+        private SignalReader(DirectCall call, DirectListener listener, long sentAt) {
             this.call = call;
             this.listener = listener;
             this.sentAt = sentAt;
@@ -57,12 +57,12 @@
 
         @Override
         public void onHead(DirectHead head) {
-            String speaker = dialect.otherUpstream(head).orElse(call.upstream());
+            String responder = dialect.otherUpstream(head).orElse(call.upstream());
             long now = timers.nanoTime();
-            limits.onResponse(speaker, dialect.limit(head), sentAt, now);
-            rests.onResponse(speaker, dialect.backoff(head), !dialect.provesNotRun(head), now);
+            limits.onResponse(responder, dialect.limit(head), sentAt, now);
+            backoffs.onResponse(responder, dialect.backoff(head), !dialect.provesNotRun(head), now);
             if (dialect.isLeaving(head)) {
-                gossip.onLeaving(speaker);
+                gossip.onLeaving(responder);
             }
             listener.onHead(head);
         }
--- a/library/src/main/java/org/copperspindle/gateway/StageAdmission.java
+++ b/library/src/main/java/org/copperspindle/gateway/StageAdmission.java
@@ -9,139 +9,156 @@
 import org.copperspindle.route.Route;
 
 /**
- * Decides when a request's stages begin.
+ * Decides when the stages of a request start.
  *
- * <p>The load it answers: a burst brings up to two and a half times what the stage pools make, for several seconds. Once
- * begun, a request holds results at their makers, which forget them after a few seconds; a request that is begun and
- * then waits between two stages wastes what was made for it. So only those begin that can meet their objective by what
- * the pools tell of their waits and by what was promised to requests before them. The others are told at once to come
- * back when the burst may be over. Those that have come back are held while nothing of them has been made, and begin when
- * the pools have nothing to do: sent away again, their callers would have waited twice for nothing.
+ * <p>Bursts bring up to two and a half times the throughput of the stage pools, for several seconds. A request that
+ * has started holds results at their producers, which drop them after a few seconds; if it then waits between two
+ * stages, the work done for it is wasted. So a request starts only if it can meet its objective, by the waits that
+ * the pools report and the pieces that are expected from earlier requests. Others are soon told to retry when the
+ * burst may be over. Callers that retry are deferred before their first stage, and start when the pools are idle:
+ * refused once more, they would have waited twice in vain.
  *
- * <p>Where kinds of requests share a pool, the less urgent one leaves room for the next request of the more urgent one.
+ * <p>Where request kinds share a pool, the less urgent one leaves capacity for the next request of the more urgent
+ * one.
  */
 final class StageAdmission {
 
-    /** Pools whose waits add up to less than this part of a full call have room for requests that are late already. */
-    private static final double IDLE_CALLS = 0.33;
+    /** Fraction of a full call: pools with waits below it in total have capacity for requests that are already late. */
+    private static final double IDLE_WAIT_FRACTION = 0.33;
 
     /**
-     * Part of the time that a request was held by which waits may be longer: in a load that lasts, pools are never idle,
-     * and a caller that has come back would be sent away a second time.
+     * Fraction of a request's deferral by which the waits may be longer: under a lasting load pools are never idle,
+     * and a caller that retries would be refused a second time.
      */
-    private static final double IDLE_GROWTH = 0.1;
+    private static final double IDLE_WAIT_GROWTH = 0.1;
 
-    /** Most requests held by one node: more than a burst leaves behind there, and those beyond would not begin in time. */
-    private static final int MOST_HELD = 32;
+    /**
+     * Maximum number of deferred requests on a node: more than a burst leaves there, and any beyond it would not
+     * start in time.
+     */
+    private static final int MAX_DEFERRED = 32;
 
     /**
-     * Part of its objective for which a request is held that comes for the first time: what pools tell of their waits
-     * changes from call to call. Longer, and callers would wait for an answer that could have been given at once.
+     * Fraction of its objective for which a first attempt of a caller is deferred: the reported waits change from
+     * call to call. With a longer deferral callers would wait for a refusal that could be sent earlier.
      */
-    private static final double FIRST_HOLD = 0.25;
+    private static final double FIRST_DEFERRAL_FRACTION = 0.25;
 
-    /** Shortest runs beyond its own that a held request must have left: one that begins late takes longer than that. */
-    private static final double HOLD_RUNS = 2;
+    /**
+     * Shortest runs beyond its own that must fit into the time left to a deferred request: a run that starts late
+     * takes longer than the shortest.
+     */
+    private static final double DEFERRED_SPARE_RUNS = 2;
 
     /**
-     * One held request begins at a time, at a distance of this part of a full call, so that all nodes together do not fill
-     * the pools again.
+     * Fraction of a full call between the starts of two deferred requests, so that all nodes together don't fill the
+     * pools again.
      */
-    private static final double RELEASE_CALLS = 0.55;
+    private static final double START_INTERVAL_FRACTION = 0.55;
 
     /**
-     * Part of a full call by which a more urgent kind must be early before less urgent requests are let in: what pools tell is
-     * about so old. Much longer, and the less urgent kind would lose more than the urgent one gains.
+     * Fraction of a full call that a more urgent kind must have to spare before less urgent requests are admitted:
+     * the reported loads are about that old. With a much larger one the less urgent kind would lose more than the
+     * urgent one gains.
      */
-    private static final double URGENT_CALLS = 0.1;
+    private static final double URGENT_MARGIN_FRACTION = 0.1;
 
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    private final StageForecaster forecaster;
-    private final UrgentKinds kinds = new UrgentKinds();
-    private final StageExcess excess = new StageExcess();
-    private int held;
-    private long releasedAt;
-    private boolean released;
+    private final StageTimeEstimator estimator;
+    private final UrgentRequestKinds kinds = new UrgentRequestKinds();
+    private final StageOverruns overruns = new StageOverruns();
+    private int deferredCount;
+    private long lastStartAt;
+    private boolean anyStarted;
 
     /**
-     * Creates a gate.
+     * Creates the admission.
      *
-     * @param loads       load of a pool by its name
-     * @param firstEvents how long upstreams take after the stages
+     * @param loads               returns the load of a pool by its name
+     * @param firstEventLatencies time from an attempt to its first event, after the stages
      */
-    StageAdmission(Function<String, PoolLoad> loads, FirstEventLatencies firstEvents) {
-        this.forecaster = new StageForecaster(loads, firstEvents);
+    StageAdmission(Function<String, PoolLoad> loads, FirstEventLatencies firstEventLatencies) {
+        this.estimator = new StageTimeEstimator(loads, firstEventLatencies);
     }
 
     /**
-     * Judges a request.
+     * Decides on a request.
      *
-     * @param wasHeld true if it was held before and is counted as such
+     * @param wasDeferred true if it was deferred before and is counted as such
      */
-    StageAdmissionDecision judge(AdmittedRequest request, boolean wasHeld, long now) {
-        if (!wasHeld) {
-            kinds.asked(request);
+    StageAdmissionDecision decide(AdmittedRequest request, boolean wasDeferred, long now) {
+        if (!wasDeferred) {
+            kinds.observe(request);
         }
         long fullCall = fullCallNanos(request);
-        StageForecast forecast = forecaster.of(request);
-        long finish = forecast.reckoned() + excess.nanos(request.route(), now);
-        long left = request.times().objectiveAt() - now;
-        // Without what was learned: pools that are idle must get requests, or nothing would be learned any more.
-        boolean idle = forecast.reckoned() - forecast.shortest()
-                < IDLE_CALLS * fullCall + IDLE_GROWTH * (now - request.times().beganAt());
-        boolean inTime = now - holdUntil(request, forecast.shortest()) < 0;
-        Optional<String> inNeed = kindInNeed(request, now);
+        StageTimeEstimate estimate = estimator.estimate(request);
+        long correctedNanos = estimate.estimated() + overruns.nanos(request.route(), now);
+        long remainingNanos = request.times().objectiveAt() - now;
+        // Without the learned overrun: idle pools must get requests, or the overrun could not be measured again.
+        boolean idle = estimate.estimated() - estimate.minimum()
+                < IDLE_WAIT_FRACTION * fullCall
+                        + IDLE_WAIT_GROWTH * (now - request.times().admittedAt());
+        boolean mayDefer = now - deferUntil(request, estimate.minimum()) < 0;
+        Optional<String> underserved = underservedKind(request, now);
         StageAdmissionVerdict verdict = StageAdmissionVerdict.REFUSE;
-        boolean ends = now + forecast.reckoned() - request.times().patienceAt() < 0;
-        if (finish <= left && inNeed.isEmpty()
-                || idle && ends && mayRelease(wasHeld, now, (long) (RELEASE_CALLS * fullCall))) {
+        boolean endsInTime = now + estimate.estimated() - request.times().callerTimeoutAt() < 0;
+        if (correctedNanos <= remainingNanos && underserved.isEmpty()
+                || idle
+                        && endsInTime
+                        && mayStartDeferred(wasDeferred, now, (long) (START_INTERVAL_FRACTION * fullCall))) {
             verdict = StageAdmissionVerdict.BEGIN;
-        } else if (inTime && (wasHeld || held < MOST_HELD)) {
+        } else if (mayDefer && (wasDeferred || deferredCount < MAX_DEFERRED)) {
             verdict = StageAdmissionVerdict.HOLD;
         }
         return new StageAdmissionDecision(
-                verdict, finish / NANOS_PER_MILLI, left / NANOS_PER_MILLI, held, forecast.reckonedStages(), inNeed);
+                verdict,
+                correctedNanos / NANOS_PER_MILLI,
+                remainingNanos / NANOS_PER_MILLI,
+                deferredCount,
+                estimate.stages(),
+                underserved);
     }
 
     /**
-     * Learns from a request whose stages have run.
+     * Records the stage duration of a request.
      *
-     * @param route         its route
-     * @param reckonedNanos how long they were reckoned to take, {@link StageAdmissionDecision#reckonedNanos}
-     * @param tookNanos     how long they took
-     * @param now           monotonic time in nanoseconds
+     * @param route          its route
+     * @param estimatedNanos estimated duration of its stages, {@link StageAdmissionDecision#estimatedStagesNanos}
+     * @param actualNanos    measured duration of its stages
+     * @param now            monotonic time in nanoseconds
      */
-    void ran(Route route, long reckonedNanos, long tookNanos, long now) {
-        excess.ran(route, reckonedNanos, tookNanos, now);
+    void recordStages(Route route, long estimatedNanos, long actualNanos, long now) {
+        overruns.observe(route, estimatedNanos, actualNanos, now);
     }
 
-    /** Counts requests that are held. */
-    void held(int change) {
-        held += change;
+    /** Adds to the number of deferred requests. */
+    void adjustDeferred(int delta) {
+        deferredCount += delta;
     }
 
     int deferredCount() {
-        return held;
+        return deferredCount;
     }
 
-    private static long holdUntil(AdmittedRequest request, long shortest) {
+    private static long deferUntil(AdmittedRequest request, long minimum) {
         RequestTimes times = request.times();
-        if (times.returned()) {
-            return times.patienceAt() - (long) ((1 + HOLD_RUNS) * shortest);
+        if (times.retried()) {
+            return times.callerTimeoutAt() - (long) ((1 + DEFERRED_SPARE_RUNS) * minimum);
         }
-        return times.beganAt() + (long) (request.route().objective().toNanos() * FIRST_HOLD);
+        return times.admittedAt() + (long) (request.route().objective().toNanos() * FIRST_DEFERRAL_FRACTION);
     }
 
     /**
-     * Returns the more urgent kind whose room a request would take: the pool that this kind waits for longest is one of the
-     * request's own, and its next request would be late for that wait. By its own objective alone the kind with the
-     * longest one would be let in until only it could be in time, whatever its rank.
+     * Returns the more urgent request kind that is underserved and whose capacity the request would take: the pool
+     * with that kind's longest wait is also used by the request, and the kind's next request would be late because of
+     * that wait. Judged by objectives alone, the kind with the longest objective would be admitted until only it
+     * could be in time, whatever its rank.
      */
-    private Optional<String> kindInNeed(AdmittedRequest request, long now) {
-        return kinds.before(request, now).stream()
-                .filter(urgent -> isLateForWaits(urgent, now)
-                        && forecaster
+    private Optional<String> underservedKind(AdmittedRequest request, long now) {
+        return kinds.moreUrgentThan(request, now).stream()
+                .filter(urgent -> isLateDueToQueueing(urgent, now)
+                        && estimator
                                 .bottleneck(urgent)
                                 .filter(request::needsPool)
                                 .isPresent())
@@ -149,12 +166,15 @@
                 .findFirst();
     }
 
-    /** Says whether the next request of a kind would be late, and would not be if nothing waited: room would help it. */
-    private boolean isLateForWaits(AdmittedRequest kind, long now) {
-        StageForecast forecast = forecaster.of(kind);
-        long reserve = (long) (URGENT_CALLS * fullCallNanos(kind));
-        long spare = kind.route().objective().toNanos() - excess.nanos(kind.route(), now) - reserve;
-        return forecast.shortest() <= spare && forecast.reckoned() > spare;
+    /**
+     * Returns whether the next request of a kind would be late, but not without queueing, so that free capacity would
+     * help it.
+     */
+    private boolean isLateDueToQueueing(AdmittedRequest kind, long now) {
+        StageTimeEstimate estimate = estimator.estimate(kind);
+        long margin = (long) (URGENT_MARGIN_FRACTION * fullCallNanos(kind));
+        long available = kind.route().objective().toNanos() - overruns.nanos(kind.route(), now) - margin;
+        return estimate.minimum() <= available && estimate.estimated() > available;
     }
 
     /** Returns the longest full call of the pools that the request needs. */
@@ -168,15 +188,15 @@
                 .orElse(0);
     }
 
-    private boolean mayRelease(boolean wasHeld, long now, long distance) {
-        if (!wasHeld && held == 0) {
+    private boolean mayStartDeferred(boolean wasDeferred, long now, long interval) {
+        if (!wasDeferred && deferredCount == 0) {
             return true;
         }
-        if (!wasHeld || released && now - releasedAt < distance) {
+        if (!wasDeferred || anyStarted && now - lastStartAt < interval) {
             return false;
         }
-        released = true;
-        releasedAt = now;
+        anyStarted = true;
+        lastStartAt = now;
         return true;
     }
 }
--- a/library/src/main/java/org/copperspindle/gateway/StageAdmissionDecision.java
+++ b/library/src/main/java/org/copperspindle/gateway/StageAdmissionDecision.java
@@ -3,19 +3,20 @@
 import java.util.Optional;
 
 /**
- * A verdict of the gate before the stages, with what decided it.
+ * A decision of {@link StageAdmission} with the values that it is based on.
  *
- * @param verdict       what becomes of the request
- * @param finishMillis  when its first event would come, from now, by what the pools tell
- * @param leftMillis    time left to its objective; below zero if that has passed
- * @param held          requests that this node held already
- * @param reckonedNanos how long its stages would take by the loads of their pools alone
- * @param inNeed        route of a more urgent kind that needs the room; empty if none does
+ * @param verdict              the decision
+ * @param estimatedMillis      estimated time from now to the first event
+ * @param remainingMillis      time left to the objective; negative if it has passed
+ * @param deferredCount        requests that this node defers at present
+ * @param estimatedStagesNanos estimated duration of the stages by the pool loads alone, without the learned
+ *     correction
+ * @param underservedRoute     route of a more urgent request kind that needs the capacity; empty if none does
  */
 record StageAdmissionDecision(
         StageAdmissionVerdict verdict,
-        long finishMillis,
-        long leftMillis,
-        int held,
-        long reckonedNanos,
-        Optional<String> inNeed) {}
+        long estimatedMillis,
+        long remainingMillis,
+        int deferredCount,
+        long estimatedStagesNanos,
+        Optional<String> underservedRoute) {}
--- a/library/src/main/java/org/copperspindle/gateway/StageAdmissionVerdict.java
+++ b/library/src/main/java/org/copperspindle/gateway/StageAdmissionVerdict.java
@@ -1,13 +1,13 @@
 package org.copperspindle.gateway;
 
 /**
- * What becomes of a request whose route has stages.
+ * Decision on a request whose route has stages.
  */
 enum StageAdmissionVerdict {
-    /** Its stages begin. */
+    /** The stages start now. */
     BEGIN,
-    /** It waits without holding any results, and is judged again. */
+    /** The request is deferred: it waits without holding any stage results, and is evaluated again. */
     HOLD,
-    /** It is refused: there is no room for it in its time. */
+    /** The request is refused: the stages have no capacity for it in its time. */
     REFUSE
 }
--- a/library/src/main/java/org/copperspindle/gateway/StageInputs.java
+++ b/library/src/main/java/org/copperspindle/gateway/StageInputs.java
@@ -10,41 +10,41 @@
 import org.copperspindle.discovery.UpstreamRecord;
 
 /**
- * The stage results that a request's upstream fetches, with their sizes.
+ * The stage results that the upstream of a request fetches, with their sizes.
  *
  * @param bytes approximate size of each result by its handle
  */
 record StageInputs(Map<String, Long> bytes) {
 
-    /** A request without stages. */
+    /** Inputs of a request without stages. */
     static final StageInputs NONE = new StageInputs(Map.of());
 
-    /** Collects results of several stages. */
-    static StageInputs of(List<String> handles, long each) {
+    /** Creates inputs from results of the same size. */
+    static StageInputs of(List<String> handles, long bytesEach) {
         Map<String, Long> bytes = new HashMap<>();
-        handles.forEach(handle -> bytes.put(handle, each));
+        handles.forEach(handle -> bytes.put(handle, bytesEach));
         return new StageInputs(bytes);
     }
 
-    StageInputs and(StageInputs other) {
+    StageInputs plus(StageInputs other) {
         Map<String, Long> all = new HashMap<>(bytes);
         all.putAll(other.bytes);
         return new StageInputs(all);
     }
 
-    /** Returns the size of all. */
-    long total() {
+    /** Returns the total size in bytes. */
+    long totalBytes() {
         return bytes.values().stream().mapToLong(Long::longValue).sum();
     }
 
-    /** Returns the failure domain whose upstreams made most of it. */
+    /** Returns the failure domain in which most of the bytes were produced. */
     Optional<String> largestDomain(UpstreamDirectory directory) {
         return byDomain(directory).entrySet().stream()
                 .max(Map.Entry.<String, Long>comparingByValue().thenComparing(Map.Entry.comparingByKey()))
                 .map(Map.Entry::getKey);
     }
 
-    /** Returns how much of it was made in a failure domain. */
+    /** Returns how many of the bytes were produced in a failure domain. */
     long bytesIn(String domain, UpstreamDirectory directory) {
         return byDomain(directory).getOrDefault(domain, 0L);
     }
--- a/library/src/main/java/org/copperspindle/gateway/StagePlan.java
+++ b/library/src/main/java/org/copperspindle/gateway/StagePlan.java
@@ -11,31 +11,32 @@
 import org.copperspindle.route.RouteStage;
 
 /**
- * The stages of one request: which may begin, which results each needs, and which results nobody needs any more. Pure.
+ * Dependency graph of the stages of one request: which stages may start, which results each one needs, and which
+ * results are no longer needed. It has no side effects outside itself.
  */
 final class StagePlan {
 
     private final List<RouteStage> stages;
     private final List<String[]> handles = new ArrayList<>();
-    private final boolean[] begun;
-    private final boolean[] freed;
-    private final Set<Integer> followed = new HashSet<>();
+    private final boolean[] started;
+    private final boolean[] released;
+    private final Set<Integer> stagesWithReaders = new HashSet<>();
 
     /**
-     * Plans the stages.
+     * Creates a plan.
      *
      * @param stages stages of the route
-     * @param pieces pieces of each stage; a stage that is not named or has none is left out
+     * @param pieces number of pieces by stage; a stage without pieces is skipped
      */
     StagePlan(List<RouteStage> stages, List<Integer> pieces) {
         this.stages = stages;
-        this.begun = new boolean[stages.size()];
-        this.freed = new boolean[stages.size()];
+        this.started = new boolean[stages.size()];
+        this.released = new boolean[stages.size()];
         for (int stage = 0; stage < stages.size(); stage++) {
             int count = stage < pieces.size() ? pieces.get(stage) : 0;
             handles.add(new String[count]);
             if (count > 0) {
-                followed.addAll(stages.get(stage).after());
+                stagesWithReaders.addAll(stages.get(stage).after());
             }
         }
     }
@@ -48,22 +49,23 @@
         return handles.get(stage).length;
     }
 
-    /** Returns the stages that can begin now, and notes that they do. */
-    List<Integer> begin() {
-        return begin(stage -> true);
+    /** Returns the stages that can start now and marks them as started. */
+    List<Integer> startReady() {
+        return startReady(stage -> true);
     }
 
     /**
-     * Returns the stages that can begin now and are due, and notes that they do.
+     * Returns the stages that can start now and are due, and marks them as started.
      *
-     * @param due says whether a stage that can begin should
+     * @param due returns whether a stage that can start should start now
      */
-    List<Integer> begin(IntPredicate due) {
+    List<Integer> startReady(IntPredicate due) {
         List<Integer> ready = new ArrayList<>();
         for (int stage = 0; stage < stages.size(); stage++) {
-            boolean may = !begun[stage] && stages.get(stage).after().stream().allMatch(this::isDone);
-            if (may && (pieces(stage) == 0 || due.test(stage))) {
-                begun[stage] = true;
+            boolean canStart =
+                    !started[stage] && stages.get(stage).after().stream().allMatch(this::isDone);
+            if (canStart && (pieces(stage) == 0 || due.test(stage))) {
+                started[stage] = true;
                 if (pieces(stage) > 0) {
                     ready.add(stage);
                 }
@@ -72,48 +74,48 @@
         return ready;
     }
 
-    /** Returns the handles that every piece of a stage needs. */
+    /** Returns the input handles of every piece of a stage. */
     List<String> inputs(int stage) {
         List<String> inputs = new ArrayList<>();
         stages.get(stage).after().forEach(before -> inputs.addAll(Arrays.asList(handles.get(before))));
         return inputs;
     }
 
-    /** Says whether a stage is the only reader of everything that it starts from. */
-    boolean readsAlone(int stage) {
+    /** Returns whether a stage is the only reader of all its inputs. */
+    boolean isOnlyReader(int stage) {
         List<Integer> before = stages.get(stage).after();
         return !before.isEmpty() && before.stream().allMatch(input -> readers(input) == 1);
     }
 
-    /** Says whether another stage reads the results of a stage. */
-    boolean isFollowed(int stage) {
-        return followed.contains(stage);
+    /** Returns whether another stage reads the results of a stage. */
+    boolean hasReader(int stage) {
+        return stagesWithReaders.contains(stage);
     }
 
     /**
-     * Returns how long the other stages of the request will still take.
+     * Returns the remaining time of the other stages of the request.
      *
-     * @param stage the stage that is left out
-     * @param left  what is left of a stage that has begun or can begin, by its number
-     * @param cost  time of a stage that follows
+     * @param stage     the stage that is left out
+     * @param remaining remaining time of a stage that has started or can start
+     * @param cost      duration of a later stage
      */
-    long longestBeside(int stage, StageCost left, StageCost cost) {
+    long longestParallel(int stage, StageCost remaining, StageCost cost) {
         long longest = 0;
         for (int other = 0; other < stages.size(); other++) {
             boolean open = other != stage && !isDone(other);
             if (open && stages.get(other).after().stream().allMatch(this::isDone)) {
-                longest = Math.max(longest, left.of(other) + longestAfter(other, cost));
+                longest = Math.max(longest, remaining.of(other) + longestAfter(other, cost));
             }
         }
         return longest;
     }
 
-    /** Notes that the inputs of a stage are given up by whoever makes its pieces. */
-    void handOverInputs(int stage) {
-        stages.get(stage).after().forEach(input -> freed[input] = true);
+    /** Records that the producer of a stage's pieces releases the inputs of that stage. */
+    void markInputsReleased(int stage) {
+        stages.get(stage).after().forEach(input -> released[input] = true);
     }
 
-    void made(int stage, int piece, String handle) {
+    void setResult(int stage, int piece, String handle) {
         handles.get(stage)[piece] = handle;
     }
 
@@ -130,52 +132,52 @@
         return true;
     }
 
-    /** Returns the results that the request itself needs: those of stages that no other follows. */
+    /** Returns the results that the request itself needs: those that no other stage reads. */
     List<String> results() {
         List<String> results = new ArrayList<>();
         for (int stage = 0; stage < stages.size(); stage++) {
-            if (!followed.contains(stage)) {
+            if (!stagesWithReaders.contains(stage)) {
                 results.addAll(Arrays.asList(handles.get(stage)));
             }
         }
         return results;
     }
 
-    /** Returns the same with their sizes. */
-    StageInputs inputsOfRequest() {
+    /** Returns the same results with their sizes. */
+    StageInputs requestInputs() {
         StageInputs inputs = StageInputs.NONE;
         for (int stage = 0; stage < stages.size(); stage++) {
-            if (!followed.contains(stage)) {
-                inputs =
-                        inputs.and(StageInputs.of(made(stage), stages.get(stage).resultBytes()));
+            if (!stagesWithReaders.contains(stage)) {
+                inputs = inputs.plus(StageInputs.of(
+                        availableHandles(stage), stages.get(stage).resultBytes()));
             }
         }
         return inputs;
     }
 
     /**
-     * Takes the results of a stage that nobody needs any more.
+     * Returns the stages whose results are no longer needed, and marks them as released.
      *
-     * @param requestDone true if the request itself has its inputs or is given up
-     * @return stages whose results may be freed, each once
+     * @param requestDone true if the request has read its inputs or has ended
+     * @return stages whose results can be released, each once
      */
-    List<Integer> takeFreeable(boolean requestDone) {
-        List<Integer> free = new ArrayList<>();
+    List<Integer> takeReleasable(boolean requestDone) {
+        List<Integer> releasable = new ArrayList<>();
         for (int stage = 0; stage < stages.size(); stage++) {
-            boolean needed = !requestDone && (!followed.contains(stage) || isAwaited(stage));
-            if (!freed[stage] && !needed && !made(stage).isEmpty()) {
-                freed[stage] = true;
-                free.add(stage);
+            boolean needed = !requestDone && (!stagesWithReaders.contains(stage) || hasPendingReader(stage));
+            if (!released[stage] && !needed && !availableHandles(stage).isEmpty()) {
+                released[stage] = true;
+                releasable.add(stage);
             }
         }
-        return free;
+        return releasable;
     }
 
-    List<String> made(int stage) {
+    List<String> availableHandles(int stage) {
         return Arrays.stream(handles.get(stage)).filter(h -> h != null).toList();
     }
 
-    /** Returns the length of the longest chain of stages behind one, measured by a cost for each stage. */
+    /** Returns the cost of the most expensive chain of stages that follows a stage. */
     long longestAfter(int stage, StageCost cost) {
         long longest = 0;
         for (int next = 0; next < stages.size(); next++) {
@@ -186,8 +188,8 @@
         return longest;
     }
 
-    /** Returns when the last stage ends, counted from now, if each takes a time that depends on when it begins. */
-    long finish(StageTime time) {
+    /** Returns the end of the last stage, relative to now, if the duration of each stage depends on its start. */
+    long finish(StageDuration time) {
         long last = 0;
         for (int stage = 0; stage < stages.size(); stage++) {
             last = Math.max(last, finish(stage, time));
@@ -195,12 +197,12 @@
         return last;
     }
 
-    private long finish(int stage, StageTime time) {
-        long begin = 0;
+    private long finish(int stage, StageDuration time) {
+        long start = 0;
         for (int before : stages.get(stage).after()) {
-            begin = Math.max(begin, finish(before, time));
+            start = Math.max(start, finish(before, time));
         }
-        return pieces(stage) == 0 ? begin : begin + time.of(stage, begin);
+        return pieces(stage) == 0 ? start : start + time.of(stage, start);
     }
 
     private long readers(int stage) {
@@ -209,7 +211,7 @@
                 .count();
     }
 
-    private boolean isAwaited(int stage) {
+    private boolean hasPendingReader(int stage) {
         for (int next = 0; next < stages.size(); next++) {
             if (stages.get(next).after().contains(stage) && !isDone(next)) {
                 return true;
@@ -224,22 +226,22 @@
         /**
          * Returns the cost of a stage.
          *
-         * @param stage its number
-         * @return for example nanoseconds
+         * @param stage number of the stage
+         * @return the cost, for example in nanoseconds
          */
         long of(int stage);
     }
 
-    /** Time that a stage takes. */
+    /** Duration of a stage. */
     @FunctionalInterface
-    interface StageTime {
+    interface StageDuration {
         /**
-         * Returns the time of a stage.
+         * Returns the duration of a stage.
          *
-         * @param stage its number
-         * @param begin when it can begin, nanoseconds from now
+         * @param stage number of the stage
+         * @param start when it can start, nanoseconds from now
          * @return nanoseconds
          */
-        long of(int stage, long begin);
+        long of(int stage, long start);
     }
 }
--- a/library/src/main/java/org/copperspindle/gateway/StageRun.java
+++ b/library/src/main/java/org/copperspindle/gateway/StageRun.java
@@ -21,18 +21,21 @@
 import org.copperspindle.time.TimerSubscription;
 
 /**
- * Has the pieces of one request's stages made, each stage as soon as those before it are done, and gives results up as
- * soon as nobody needs them: they hold scarce memory at their makers.
+ * Runs the stages of one request. Each stage starts as soon as its inputs are complete, and results are released as
+ * soon as they are no longer needed, because they occupy scarce memory at their producers.
  */
 final class StageRun {
 
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    /** Objectives that a request gets which begins too late for its own: after those that can be on time, but not last. */
-    private static final double LATE_OBJECTIVES = 1.5;
+    /**
+     * Objectives within which a request must end that starts too late for its own: it comes after requests that can
+     * be in time, but not last.
+     */
+    private static final double LATE_TARGET_OBJECTIVES = 1.5;
 
-    /** A stage that should begin within so little time begins now: a timer costs more than it saves. */
-    private static final long EARLY_NANOS = Duration.ofMillis(20).toNanos();
+    /** A stage that is due within this time starts immediately: a timer would cost more than it saves. */
+    private static final long MIN_DELAY_NANOS = Duration.ofMillis(20).toNanos();
 
     private final AdmittedRequest admitted;
     private final Optional<String> readerDomain;
@@ -42,24 +45,25 @@
     private final TimerService timers;
     private final Listener listener;
     private final StagePlan plan;
-    private final Set<Long> open = new HashSet<>();
-    private final Set<Integer> promised = new HashSet<>();
-    private final Map<Integer, Long> expectedAt = new HashMap<>();
+    private final Set<Long> openGroups = new HashSet<>();
+    private final Set<Integer> expectedStages = new HashSet<>();
+    private final Map<Integer, Long> expectedEndAt = new HashMap<>();
     private long targetAt;
-    private TimerSubscription nextLook = () -> {};
-    private long nextLookAt;
+    private TimerSubscription nextCheck = () -> {};
+    private long nextCheckAt;
     private boolean done;
-    private boolean over;
+    private boolean released;
 
     /**
-     * Prepares the stages.
+     * Creates the run.
      *
      * @param admitted        the request
-     * @param readerDomain    failure domain of the upstream that is meant to have the request; empty if none is
-     * @param firstEventNanos how long that upstream takes after the stages
-     * @param batches         makes the pieces
+     * @param readerDomain    failure domain of the upstream that will probably get the request; empty if there is
+     *     none
+     * @param firstEventNanos expected time from the attempt to its first event, after the stages
+     * @param batches         batches pieces into calls
      * @param timers          time on the network thread
-     * @param listener        waits for the stages
+     * @param listener        receives the end of the stages
      */
     StageRun(
             AdmittedRequest admitted,
@@ -78,34 +82,34 @@
         this.plan = new StagePlan(route.stages(), admitted.request().pieces());
     }
 
-    /** Begins the stages that need no others. */
+    /** Starts the stages that have no inputs. */
     void start() {
-        targetAt = target(timers.nanoTime());
+        targetAt = targetEnd(timers.nanoTime());
         for (int stage = 0; stage < plan.stages(); stage++) {
             if (plan.pieces(stage) > 0) {
                 batches.addExpectedPieces(admitted.stagePool(stage), plan.pieces(stage));
-                promised.add(stage);
+                expectedStages.add(stage);
             }
         }
         proceed();
     }
 
-    /** Returns the handles that the request needs; once all stages are done. */
+    /** Returns the result handles that the request needs, once all stages are complete. */
     List<String> results() {
         return plan.results();
     }
 
     /** Returns the same results with their sizes. */
     StageInputs inputs() {
-        return plan.inputsOfRequest();
+        return plan.requestInputs();
     }
 
     /**
-     * Returns after which time from the sending of an attempt its upstream has fetched the results, over the slowest link of
-     * the pools that made any.
+     * Returns the time after which the upstream of an attempt has fetched the results, over the slowest link of the
+     * pools that produced any.
      */
     long fetchNanos(FetchTimeEstimator fetches) {
-        long bytes = inputs().total();
+        long bytes = inputs().totalBytes();
         return IntStream.range(0, plan.stages())
                 .filter(stage -> plan.pieces(stage) > 0)
                 .mapToObj(admitted::stageLimits)
@@ -115,95 +119,105 @@
                 .orElse(0);
     }
 
-    /** Gives up all results: the request has read what it needs, or is over. */
-    void end() {
-        over = true;
-        nextLook.cancel();
-        promised.forEach(stage -> batches.addExpectedPieces(admitted.stagePool(stage), -plan.pieces(stage)));
-        promised.clear();
-        open.forEach(batches::cancel);
-        open.clear();
-        free(true);
+    /** Releases all results: the request has read what it needs, or has ended. */
+    void releaseAll() {
+        released = true;
+        nextCheck.cancel();
+        expectedStages.forEach(stage -> batches.addExpectedPieces(admitted.stagePool(stage), -plan.pieces(stage)));
+        expectedStages.clear();
+        openGroups.forEach(batches::cancel);
+        openGroups.clear();
+        releaseUnneeded(true);
     }
 
-    /** Says whether the results were given up. */
-    boolean isOver() {
-        return over;
+    /** Returns whether the results were released. */
+    boolean isReleased() {
+        return released;
     }
 
-    /** Behind all that can be on time, a request that begins late would hold its results until they are forgotten. */
-    private long target(long now) {
+    /**
+     * Returns the target end of the request. Queued behind all requests that can be in time, a late one would hold
+     * its results until its producers drop them.
+     */
+    private long targetEnd(long now) {
         long objectiveAt = admitted.times().objectiveAt();
-        long shortest =
-                plan.finish((stage, begin) -> StageForecaster.expectedNanos(admitted, plan, stage)) + firstEventNanos;
+        long shortest = plan.finish((stage, start) -> StageTimeEstimator.expectedNanos(admitted, plan, stage))
+                + firstEventNanos;
         boolean late = now + shortest - objectiveAt > 0;
-        return late ? now + (long) (route.objective().toNanos() * LATE_OBJECTIVES) : objectiveAt;
+        return late ? now + (long) (route.objective().toNanos() * LATE_TARGET_OBJECTIVES) : objectiveAt;
     }
 
     private void proceed() {
-        if (over) {
+        if (released) {
             return;
         }
-        nextLook.cancel();
-        nextLookAt = Long.MAX_VALUE;
-        for (int stage : plan.begin(this::isDue)) {
+        nextCheck.cancel();
+        nextCheckAt = Long.MAX_VALUE;
+        for (int stage : plan.startReady(this::isDue)) {
             batches.addExpectedPieces(admitted.stagePool(stage), -plan.pieces(stage));
-            promised.remove(stage);
+            expectedStages.remove(stage);
             submit(stage);
         }
-        free(false);
+        releaseUnneeded(false);
         if (plan.isComplete() && !done) {
-            // Told twice, the request would go to two upstreams.
+            // A second call would send the request to two upstreams.
             done = true;
             listener.onStagesDone();
         }
     }
 
     /**
-     * Says whether a stage should begin, and looks again when it should. One whose results only the upstream reads, beside a
-     * longer chain of stages, begins when it will be done about as soon as that: begun at once, its results fill their
-     * makers' memory for as long as the whole chain takes, and two of three makers of large results had no room for more.
+     * Returns whether a stage should start now; if not, schedules another check. A stage whose results only the
+     * upstream reads, next to a longer chain of stages, starts when it will end at about the same time as the chain.
+     * Started immediately, its results occupy the memory of their producers for the whole duration of the chain, and
+     * two of three producers of large results had no memory left.
      */
     private boolean isDue(int stage) {
-        if (plan.isFollowed(stage)) {
+        if (plan.hasReader(stage)) {
             return true;
         }
         long now = timers.nanoTime();
-        long beside = plan.longestBeside(stage, other -> leftNanos(other, now), this::costNanos);
-        long early = beside - costNanos(stage) - reserveNanos(stage);
-        if (early < EARLY_NANOS) {
+        long parallel = plan.longestParallel(stage, other -> remainingNanos(other, now), this::durationNanos);
+        long delay = parallel - durationNanos(stage) - marginNanos(stage);
+        if (delay < MIN_DELAY_NANOS) {
             return true;
         }
-        lookAgain(now + early);
+        scheduleCheck(now + delay);
         return false;
     }
 
-    /** Has stages that are not due looked at again; the soonest look is enough, since it asks for the next one. */
-    private void lookAgain(long at) {
-        if (at < nextLookAt) {
-            nextLook.cancel();
-            nextLookAt = at;
-            nextLook = timers.schedule(at - timers.nanoTime(), this::proceed);
+    /**
+     * Schedules another check of stages that are not due. Only the earliest check is kept, since it schedules the
+     * next one.
+     */
+    private void scheduleCheck(long at) {
+        if (at < nextCheckAt) {
+            nextCheck.cancel();
+            nextCheckAt = at;
+            nextCheck = timers.schedule(at - timers.nanoTime(), this::proceed);
         }
     }
 
-    /** Returns how long a stage takes, with the time that its pieces wait now. */
-    private long costNanos(int stage) {
-        return StageForecaster.expectedNanos(admitted, plan, stage)
+    /** Returns the duration of a stage, including the present wait of its pool. */
+    private long durationNanos(int stage) {
+        return StageTimeEstimator.expectedNanos(admitted, plan, stage)
                 + batches.load(admitted.stagePool(stage)).waitNanos();
     }
 
     /**
-     * Returns what is left of a stage by what it was expected to take when it began. By the wait of its pool now, its own call
-     * would count twice, and a stage beside it would begin too late.
+     * Returns the remaining time of a stage by the duration expected when it started. By the present wait of its pool
+     * its own call would count twice, and a stage next to it would start too late.
      */
-    private long leftNanos(int stage, long now) {
-        Long doneAt = expectedAt.get(stage);
-        return doneAt == null ? costNanos(stage) : Math.max(0, doneAt - now);
+    private long remainingNanos(int stage, long now) {
+        Long doneAt = expectedEndAt.get(stage);
+        return doneAt == null ? durationNanos(stage) : Math.max(0, doneAt - now);
     }
 
-    /** Returns half a full call of a stage's pool: by so much its wait can change before it begins. */
-    private long reserveNanos(int stage) {
+    /**
+     * Returns half a full call of a stage's pool: the wait of the pool can change by that much before the stage
+     * starts.
+     */
+    private long marginNanos(int stage) {
         return admitted.stageLimits(stage)
                 .map(limits -> limits.fullCallNanos() / 2)
                 .orElse(0L);
@@ -212,12 +226,13 @@
     private void submit(int number) {
         RouteStage stage = route.stages().get(number);
         long now = timers.nanoTime();
-        expectedAt.put(number, now + costNanos(number));
-        long later = plan.longestAfter(number, s -> StageForecaster.expectedNanos(admitted, plan, s)) + firstEventNanos;
+        expectedEndAt.put(number, now + durationNanos(number));
+        long remainingAfter =
+                plan.longestAfter(number, s -> StageTimeEstimator.expectedNanos(admitted, plan, s)) + firstEventNanos;
         long id = batches.nextId();
-        open.add(id);
+        openGroups.add(id);
         boolean first = stage.after().isEmpty();
-        boolean ownsInputs = plan.readsAlone(number);
+        boolean ownsInputs = plan.isOnlyReader(number);
         PieceGroup group = new PieceGroup(
                 id,
                 admitted.request().id(),
@@ -228,16 +243,16 @@
                 first ? admitted.request().pieceKey() : "",
                 first ? List.of() : plan.inputs(number),
                 admitted.rank(),
-                (targetAt - later - now) / NANOS_PER_MILLI,
-                (admitted.times().patienceAt() - now) / NANOS_PER_MILLI,
+                (targetAt - remainingAfter - now) / NANOS_PER_MILLI,
+                (admitted.times().callerTimeoutAt() - now) / NANOS_PER_MILLI,
                 stage.resultBytes(),
                 inputBytes(stage),
-                plan.isFollowed(number) ? "" : readerDomain.orElse(""),
+                plan.hasReader(number) ? "" : readerDomain.orElse(""),
                 ownsInputs);
         if (ownsInputs) {
-            plan.handOverInputs(number);
+            plan.markInputsReleased(number);
         }
-        batches.submit(group, results -> received(id, number, results));
+        batches.submit(group, results -> onResults(id, number, results));
     }
 
     private long inputBytes(RouteStage stage) {
@@ -246,38 +261,38 @@
                 .sum();
     }
 
-    private void received(long id, int stage, List<PieceResult> results) {
-        if (over) {
+    private void onResults(long id, int stage, List<PieceResult> results) {
+        if (released) {
             return;
         }
         for (PieceResult result : results) {
             if (result.outcome() instanceof PieceOutcome.Made made) {
-                plan.made(stage, result.piece(), made.handle());
+                plan.setResult(stage, result.piece(), made.handle());
             } else if (result.outcome() instanceof PieceOutcome.Missed missed) {
                 listener.onMissed(stage, missed.reason());
                 return;
             }
         }
         if (plan.isDone(stage)) {
-            open.remove(id);
+            openGroups.remove(id);
             proceed();
         }
     }
 
-    private void free(boolean requestDone) {
-        for (int stage : plan.takeFreeable(requestDone)) {
-            batches.free(route.stages().get(stage).pool(), plan.made(stage));
+    private void releaseUnneeded(boolean requestDone) {
+        for (int stage : plan.takeReleasable(requestDone)) {
+            batches.free(route.stages().get(stage).pool(), plan.availableHandles(stage));
         }
     }
 
-    /** Waits for the stages. */
+    /** Receives the end of the stages. */
     interface Listener {
 
-        /** All results are there. */
+        /** Called when all results are available. */
         void onStagesDone();
 
         /**
-         * A piece will not be made.
+         * Called when a piece will not be produced.
          *
          * @param stage  number of its stage
          * @param reason why
--- /dev/null
+++ b/library/src/main/java/org/copperspindle/gateway/StageTimeEstimate.java
@@ -0,0 +1,10 @@
+package org.copperspindle.gateway;
+
+/**
+ * Estimated times of a request that starts now, by the waits that its pools report. All times in nanoseconds.
+ *
+ * @param minimum   time to the first event without any queueing
+ * @param estimated estimated time to the first event
+ * @param stages    the part of the estimated time that its stages take
+ */
+record StageTimeEstimate(long minimum, long estimated, long stages) {}
--- a/library/src/main/java/org/copperspindle/gateway/StreamEvent.java
+++ b/library/src/main/java/org/copperspindle/gateway/StreamEvent.java
@@ -3,9 +3,9 @@
 import java.util.OptionalLong;
 
 /**
- * One whole event of a stream.
+ * One complete event of a stream.
  *
- * @param bytes as it came, with the blank line that ends it
- * @param id    its id, if it has a number
+ * @param bytes the event as received, including the blank line that ends it
+ * @param id    its id, if that is a number
  */
 record StreamEvent(byte[] bytes, OptionalLong id) {}
--- a/library/src/main/java/org/copperspindle/gateway/UpstreamAttempt.java
+++ b/library/src/main/java/org/copperspindle/gateway/UpstreamAttempt.java
@@ -14,55 +14,55 @@
 import org.copperspindle.route.RouteKind;
 
 /**
- * One attempt of a request at one upstream, from its sending to what it proves: a stream or an answer to pass on, that
- * nothing ran, or a failure after which the request may have run.
+ * One attempt of a request at one upstream. It ends with a relayed stream or a response, with proof that nothing ran,
+ * or with a failure after which the request may have run.
  */
 final class UpstreamAttempt implements DirectListener {
 
     private static final Logger LOGGER = LogManager.getLogger(UpstreamAttempt.class);
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    /** Largest answer that is held to be passed on whole. */
-    private static final int MAX_HELD_BYTES = 8 << 20;
+    /** Largest response that is buffered. */
+    private static final int MAX_BUFFERED_BYTES = 8 << 20;
 
     private final GatewayContext context;
     private final AdmittedRequest admitted;
     private final UpstreamRun run;
     private final UpstreamRecord upstream;
-    private final int number;
-    private final AnswerRelay relay;
-    private final Owner owner;
+    private final int attemptNumber;
+    private final EventStreamRelay relay;
+    private final Listener listener;
     private final long sentAt;
-    private final ByteArrayOutputStream held = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream bufferedBody = new ByteArrayOutputStream();
     private CallHandle handle = reason -> {};
     private Optional<DirectHead> head = Optional.empty();
-    private boolean streams;
+    private boolean isStream;
     private boolean ended;
 
     UpstreamAttempt(
             GatewayContext context,
             AdmittedRequest admitted,
             UpstreamRun run,
-            int number,
-            AnswerRelay relay,
-            Owner owner) {
+            int attemptNumber,
+            EventStreamRelay relay,
+            Listener listener) {
         this.context = context;
         this.admitted = admitted;
         this.run = run;
         this.upstream = run.upstream();
-        this.number = number;
+        this.attemptNumber = attemptNumber;
         this.relay = relay;
-        this.owner = owner;
+        this.listener = listener;
         this.sentAt = context.timers().nanoTime();
     }
 
-    /** Sends the attempt; its owner may hear of it before this returns. */
-    void send(AttemptSpec order) {
+    /** Sends the attempt; the listener may be called before this returns. */
+    void send(AttemptSpec spec) {
         context.tracker().started(upstream.id());
-        handle = context.port().call(context.upstreams().write(order), this);
+        handle = context.port().call(context.upstreams().write(spec), this);
     }
 
-    /** Ends the attempt for a reason of the caller's or of the clock; its owner hears nothing more. */
+    /** Aborts the attempt because the caller left or time is up; the listener is not called after that. */
     void abort(String reason) {
         if (ended) {
             return;
@@ -78,9 +78,9 @@
             return;
         }
         head = Optional.of(received);
-        streams = admitted.route().kind() == RouteKind.STREAM && received.isSuccess();
-        if (streams) {
-            relay.begin(received.status(), context.upstreams().callerFields(received));
+        isStream = admitted.route().kind() == RouteKind.STREAM && received.isSuccess();
+        if (isStream) {
+            relay.beginStream(received.status(), context.upstreams().callerFields(received));
         }
     }
 
@@ -89,15 +89,15 @@
         if (ended) {
             return;
         }
-        if (!streams) {
-            hold(data);
+        if (!isStream) {
+            buffer(data);
             return;
         }
-        boolean before = relay.hasStarted();
+        boolean startedBefore = relay.hasStarted();
         if (!relay.accept(data)) {
             abortAndFail("events-missing");
-        } else if (!before && relay.hasStarted()) {
-            owner.onFirstEvent(context.timers().nanoTime() - sentAt);
+        } else if (!startedBefore && relay.hasStarted()) {
+            listener.onFirstEvent(context.timers().nanoTime() - sentAt);
         }
     }
 
@@ -106,19 +106,19 @@
         if (ended) {
             return;
         }
-        DirectHead answer = head.orElseThrow();
-        if (streams && !relay.isWhole()) {
-            // An answer without a length ends with its connection, also when its upstream ends.
-            lose("event-cut", true);
-        } else if (context.upstreams().provesNotRun(answer)) {
-            notRun(answer);
+        DirectHead response = head.orElseThrow();
+        if (isStream && !relay.isComplete()) {
+            // A response without a length ends with its connection, also when its upstream crashes.
+            connectionLost("event-cut", true);
+        } else if (context.upstreams().provesNotRun(response)) {
+            handleNotRun(response);
         } else {
-            close(true, "");
+            end(true, "");
             context.quarantine().onSurvived(run);
-            if (streams) {
-                owner.onStreamed();
+            if (isStream) {
+                listener.onStreamed();
             } else {
-                owner.onAnswer(answer, held.toByteArray());
+                listener.onResponse(response, bufferedBody.toByteArray());
             }
         }
     }
@@ -130,35 +130,35 @@
         }
         if (failure.sent()) {
             if (failure.connectionLost()) {
-                lose(failure.reason(), !failure.possiblyStale());
+                connectionLost(failure.reason(), !failure.possiblyStale());
             } else {
                 fail(failure.reason());
             }
             return;
         }
-        close(false, failure.reason());
-        note("unsent", failure.reason());
-        owner.onNotRun(failure.reason(), false);
+        end(false, failure.reason());
+        logAttempt("unsent", failure.reason());
+        listener.onNotRun(failure.reason(), false);
     }
 
-    private void notRun(DirectHead answer) {
-        Optional<String> other = context.upstreams().otherUpstream(answer);
-        close(true, "");
-        note("not-run", "status-" + answer.status());
+    private void handleNotRun(DirectHead response) {
+        Optional<String> other = context.upstreams().otherUpstream(response);
+        end(true, "");
+        logAttempt("not-run", "status-" + response.status());
         if (other.isPresent() && !other.get().equals(upstream.id())) {
-            // The address belongs to another upstream now: nothing reached the one that was meant.
+            // The address now belongs to another upstream: the intended one received nothing.
             context.gossip().onLeft(upstream.id(), upstream.incarnation(), "address-answers-for-another");
-            owner.onNotRun("upstream-replaced", false);
-        } else if (context.upstreams().reportsMissingInputs(answer)) {
-            owner.onInputsLost(upstream.id());
+            listener.onNotRun("upstream-replaced", false);
+        } else if (context.upstreams().reportsMissingInputs(response)) {
+            listener.onInputsLost(upstream.id());
         } else {
-            owner.onNotRun("upstream-status-" + answer.status(), true);
+            listener.onNotRun("upstream-status-" + response.status(), true);
         }
     }
 
-    private void hold(byte[] data) {
-        held.writeBytes(data);
-        if (held.size() > MAX_HELD_BYTES) {
+    private void buffer(byte[] data) {
+        bufferedBody.writeBytes(data);
+        if (bufferedBody.size() > MAX_BUFFERED_BYTES) {
             abortAndFail("answer-too-large");
         }
     }
@@ -169,35 +169,35 @@
     }
 
     private void fail(String reason) {
-        close(false, reason);
-        note("failed", reason);
-        owner.onFailure(reason);
+        end(false, reason);
+        logAttempt("failed", reason);
+        listener.onFailure(reason);
     }
 
-    /** Ends the attempt because its connection ended, perhaps with the upstream. */
-    private void lose(String reason, boolean wasThere) {
-        close(false, reason);
-        note("failed", reason);
-        context.quarantine().onConnectionFailure(run, wasThere, () -> owner.onFailure(reason));
+    /** Ends the attempt because its connection was lost, possibly because the upstream crashed. */
+    private void connectionLost(String reason, boolean connectionFresh) {
+        end(false, reason);
+        logAttempt("failed", reason);
+        context.quarantine().onConnectionFailure(run, connectionFresh, () -> listener.onFailure(reason));
     }
 
-    private void close(boolean good, String reason) {
+    private void end(boolean succeeded, String reason) {
         ended = true;
-        if (good) {
+        if (succeeded) {
             context.tracker().ended(upstream.id(), true);
         } else {
             context.tracker().failed(upstream.id(), context.timers().nanoTime(), reason);
         }
     }
 
-    private void note(String outcome, String reason) {
+    private void logAttempt(String outcome, String reason) {
         long now = context.timers().nanoTime();
         if (context.log().takesFailed(now)) {
             LOGGER.info(
                     "event=attempt-{} request={} attempt={} upstream={} reason={} took_ms={} budget_left={} digest={}",
                     outcome,
                     admitted.request().id(),
-                    number,
+                    attemptNumber,
                     upstream.id(),
                     reason,
                     (now - sentAt) / NANOS_PER_MILLI,
@@ -206,44 +206,44 @@
         }
     }
 
-    /** The request that an attempt belongs to. Hears once how it ended. */
-    interface Owner {
+    /** Receives the progress and, once, the end of an attempt. */
+    interface Listener {
 
         /**
-         * The first event of the answer was passed on.
+         * Called when the first event of the response was relayed.
          *
-         * @param tookNanos how long after the attempt was made
+         * @param tookNanos time since the attempt was created
          */
         void onFirstEvent(long tookNanos);
 
-        /** The stream was passed on to its end. */
+        /** Called when the stream was relayed to its end. */
         void onStreamed();
 
         /**
-         * The upstream gave a whole answer that is no stream.
+         * Called with a complete response that is not a stream.
          *
-         * @param head its head
-         * @param body its body
+         * @param head head of the response
+         * @param body body of the response
          */
-        void onAnswer(DirectHead head, byte[] body);
+        void onResponse(DirectHead head, byte[] body);
 
         /**
-         * The attempt is proved not to have run.
+         * Called when the attempt provably did not run.
          *
          * @param reason  what proves it
-         * @param reached false if the upstream that was meant never got it
+         * @param reached false if the intended upstream never received it
          */
         void onNotRun(String reason, boolean reached);
 
         /**
-         * It did not run because stage results that it needs no longer exist.
+         * Called when the attempt did not run because stage results that it needs no longer exist.
          *
          * @param upstream id of the upstream
          */
         void onInputsLost(String upstream);
 
         /**
-         * There is no whole answer, and the request may have run.
+         * Called when there is no complete response and the request may have run.
          *
          * @param reason what happened
          */
--- a/library/src/main/java/org/copperspindle/gateway/UpstreamChooser.java
+++ b/library/src/main/java/org/copperspindle/gateway/UpstreamChooser.java
@@ -18,24 +18,30 @@
 import org.copperspindle.routing.RendezvousScore;
 
 /**
- * Chooses the upstream of an attempt. An engine keeps the prompts that it has read, so that requests with the same shared
- * part go to the same engine while its load is near the mean; other upstreams are chosen by the fewest calls in flight. A cold
- * upstream is passed over unless this node may send to it now, one that has named a limit while its keeper has no room, and one that rests.
+ * Chooses the upstream of an attempt. Engines cache the prompts that they have read, so requests with the same shared
+ * prompt part go to the same engine while its load is near the mean of the pool. Other upstreams are chosen by the
+ * fewest calls in flight. Skipped are cold upstreams that this node may not send to now, upstreams with a limit whose
+ * owner has no capacity left, and upstreams that requested a backoff.
  */
 final class UpstreamChooser {
 
-    /** How far above the mean of its pool an engine may be loaded before the next in line gets the request. */
-    private static final double LOAD_BOUND = 1.25;
+    /**
+     * Load of an engine relative to the mean of its pool above which the engine with the next score gets the request.
+     */
+    private static final double LOAD_FACTOR = 1.25;
 
-    /** Requests that an engine may have beyond that bound: with few in flight the mean says little. */
+    /** Additional requests allowed above that bound: with few requests in flight the mean is not significant. */
     private static final int LOAD_SLACK = 3;
 
-    /** An upstream unheard for this long is used only if no other is left; three announcements are missing then. */
-    private static final long SILENT_NANOS = 4_500_000_000L;
+    /**
+     * Upstreams without an announcement for this long are used only if no other is left; they missed three
+     * announcements.
+     */
+    private static final long SILENCE_TIMEOUT_NANOS = 4_500_000_000L;
 
     /**
-     * Bytes of inputs that weigh as much as reading one prompt token again: what a deployment pays for 0.8 MB between
-     * failure domains it pays for some 260 tokens.
+     * Input bytes that weigh as much as reading one prompt token again: transferring 0.8 MB between failure domains
+     * costs a deployment about as much as 260 tokens.
      */
     private static final long BYTES_PER_TOKEN = 3000;
 
@@ -43,7 +49,7 @@
     private final UpstreamTracker tracker;
     private final ColdAdmission cold;
     private final SendPermits permits;
-    private final UpstreamBackoffs rests;
+    private final UpstreamBackoffs backoffs;
     private final RandomGenerator random;
     private final String failureDomain;
 
@@ -52,14 +58,14 @@
             UpstreamTracker tracker,
             ColdAdmission cold,
             SendPermits permits,
-            UpstreamBackoffs rests,
+            UpstreamBackoffs backoffs,
             RandomGenerator random,
             String failureDomain) {
         this.directory = directory;
         this.tracker = tracker;
         this.cold = cold;
         this.permits = permits;
-        this.rests = rests;
+        this.backoffs = backoffs;
         this.random = random;
         this.failureDomain = failureDomain;
     }
@@ -70,7 +76,7 @@
      * @param pool    the pool
      * @param request the request
      * @param inputs  stage results that the upstream will fetch
-     * @param tried   ids of upstreams that have had the request
+     * @param tried   ids of upstreams that already got the request
      * @param now     monotonic time in nanoseconds
      * @return the upstream; empty if the pool has none that can take it
      */
@@ -80,24 +86,24 @@
         if (candidates.isEmpty()) {
             return Optional.empty();
         }
-        Predicate<UpstreamRecord> bears =
-                upstream -> permits.deniedNanos(upstream.id()) == 0 && bears(pool, upstream, now);
+        Predicate<UpstreamRecord> accepts =
+                upstream -> permits.deniedNanos(upstream.id()) == 0 && accepts(pool, upstream, now);
         Optional<String> shared = request.sharedPrompt();
         if (pool.engineSlots().isPresent() && shared.isPresent()) {
-            return byAffinity(near(candidates, request, inputs), shared.get(), bears)
-                    .or(() -> byAffinity(candidates, shared.get(), bears))
-                    .or(() -> byLoad(candidates, bears));
+            return byAffinity(nearInputs(candidates, request, inputs), shared.get(), accepts)
+                    .or(() -> byAffinity(candidates, shared.get(), accepts))
+                    .or(() -> byLoad(candidates, accepts));
         }
-        return byLoad(candidates, bears);
+        return byLoad(candidates, accepts);
     }
 
     /**
-     * Says whether a pool has upstreams that this node passes over for the moment only because they are cold.
+     * Returns whether a pool has upstreams that this node skips only because they are cold.
      *
      * @param pool  the pool
-     * @param tried ids of upstreams that have had the request
+     * @param tried ids of upstreams that already got the request
      * @param now   monotonic time in nanoseconds
-     * @return true if another look a little later may find one
+     * @return true if a later call may find one
      */
     boolean isWarming(UpstreamPool pool, Set<String> tried, long now) {
         return pool.cold().isPresent()
@@ -106,71 +112,73 @@
     }
 
     /**
-     * Says whether an upstream that was chosen a moment ago may still get the request.
+     * Returns whether an upstream that was chosen earlier may still get the request.
      *
      * @param pool     its pool
      * @param upstream the upstream
-     * @param tried    ids of upstreams that have had the request
+     * @param tried    ids of upstreams that already got the request
      * @param now      monotonic time in nanoseconds
-     * @return false if it has left, is suspected, or is cold and has had enough
+     * @return false if it has left, is suspected, or is cold and has received as many requests as it can take
      */
-    boolean isFit(UpstreamPool pool, UpstreamRecord upstream, Set<String> tried, long now) {
-        return bears(pool, upstream, now)
+    boolean isStillUsable(UpstreamPool pool, UpstreamRecord upstream, Set<String> tried, long now) {
+        return accepts(pool, upstream, now)
                 && candidates(pool, tried, now).stream().anyMatch(u -> u.id().equals(upstream.id()));
     }
 
     /**
-     * Finds the upstream with a limit that may have room first.
+     * Returns the upstream with a limit that may have capacity first.
      *
      * @param pool  the pool
-     * @param tried ids of upstreams that are passed over
+     * @param tried ids of upstreams to skip
      * @param now   monotonic time in nanoseconds
      * @return the upstream; empty if none that could take the request has a limit
      */
-    Optional<UpstreamRecord> soonestLimited(UpstreamPool pool, Set<String> tried, long now) {
+    Optional<UpstreamRecord> earliestLimited(UpstreamPool pool, Set<String> tried, long now) {
         return limitedCandidates(pool, tried, now).stream()
-                .filter(u -> bears(pool, u, now))
+                .filter(u -> accepts(pool, u, now))
                 .min(Comparator.comparingLong(u -> permits.deniedNanos(u.id())));
     }
 
     /**
-     * Says when the first upstream that rests, or has named a limit, may take the request.
+     * Returns when the first upstream with a backoff or a limit may take the request.
      *
      * @param pool  the pool
-     * @param tried ids of upstreams that are passed over
+     * @param tried ids of upstreams to skip
      * @param now   monotonic time in nanoseconds
-     * @return nanoseconds from now on, 0 if one may now; empty if no upstream is in need, or none of the pool is left
+     * @return nanoseconds from now, 0 if one may take it now; empty if no upstream signals backpressure, or none is
+     *     left
      */
-    OptionalLong soonestNanos(UpstreamPool pool, Set<String> tried, long now) {
-        if (!permits.isAnyNeeded() && !rests.isAnyKnown()) {
-            // Asked for each held request, many times a second.
+    OptionalLong earliestNanos(UpstreamPool pool, Set<String> tried, long now) {
+        if (!permits.isAnyNeeded() && !backoffs.isAnyKnown()) {
+            // Called many times a second for each deferred request.
             return OptionalLong.empty();
         }
-        return sound(pool, tried, now).stream()
-                .mapToLong(u -> Math.max(rests.backoffNanos(u.id(), now), permits.deniedNanos(u.id())))
+        return healthy(pool, tried, now).stream()
+                .mapToLong(u -> Math.max(backoffs.backoffNanos(u.id(), now), permits.deniedNanos(u.id())))
                 .min();
     }
 
     /**
-     * Says when the first upstream in need may take the request, if that is too late for it.
+     * Returns when the first upstream that signals backpressure may take the request, if that is too late for the
+     * caller.
      *
-     * @param pool     the pool
-     * @param tried    ids of upstreams that are passed over
-     * @param patience nanoseconds for which its caller waits; below zero once it has waited for longer
-     * @param now      monotonic time in nanoseconds
-     * @return nanoseconds from now on; empty if an upstream may take it in time, or nothing is known against it
+     * @param pool            the pool
+     * @param tried           ids of upstreams to skip
+     * @param callerTimeNanos nanoseconds for which the caller still waits; negative if that time has passed
+     * @param now             monotonic time in nanoseconds
+     * @return nanoseconds from now; empty if an upstream may take it in time, or no upstream signals backpressure
      */
-    OptionalLong soonestBeyond(UpstreamPool pool, Set<String> tried, long patience, long now) {
-        OptionalLong soonest = soonestNanos(pool, tried, now);
-        boolean late = soonest.isPresent() && soonest.getAsLong() > Math.max(0, patience);
-        return late ? soonest : OptionalLong.empty();
+    OptionalLong earliestBeyond(UpstreamPool pool, Set<String> tried, long callerTimeNanos, long now) {
+        OptionalLong earliest = earliestNanos(pool, tried, now);
+        boolean late = earliest.isPresent() && earliest.getAsLong() > Math.max(0, callerTimeNanos);
+        return late ? earliest : OptionalLong.empty();
     }
 
     /**
-     * Lists the upstreams of a pool that have named a limit.
+     * Returns the upstreams of a pool that have a limit.
      *
      * @param pool  the pool
-     * @param tried ids of upstreams that are left out
+     * @param tried ids of upstreams to leave out
      * @param now   monotonic time in nanoseconds
      * @return their ids
      */
@@ -187,33 +195,34 @@
     }
 
     private List<UpstreamRecord> candidates(UpstreamPool pool, Set<String> tried, long now) {
-        List<UpstreamRecord> usable = sound(pool, tried, now).stream()
-                .filter(u -> rests.mayTake(u.id(), tracker.inFlight(u.id()), now))
+        List<UpstreamRecord> usable = healthy(pool, tried, now).stream()
+                .filter(u -> backoffs.mayTake(u.id(), tracker.inFlight(u.id()), now))
                 .toList();
-        List<UpstreamRecord> heard = usable.stream()
-                .filter(u -> directory.silenceNanos(u.id(), now) < SILENT_NANOS)
+        List<UpstreamRecord> announcing = usable.stream()
+                .filter(u -> directory.silenceNanos(u.id(), now) < SILENCE_TIMEOUT_NANOS)
                 .toList();
-        // All silent at once means that this node is cut off from announcements, not that all have died.
-        return heard.isEmpty() ? usable : heard;
+        // If all are silent, this node is isolated from announcements; they have not all crashed.
+        return announcing.isEmpty() ? usable : announcing;
     }
 
-    private List<UpstreamRecord> sound(UpstreamPool pool, Set<String> tried, long now) {
+    private List<UpstreamRecord> healthy(UpstreamPool pool, Set<String> tried, long now) {
         return directory.ready(pool.name()).stream()
                 .filter(u -> !tried.contains(u.id()) && tracker.isUsable(u.id(), now))
                 .toList();
     }
 
-    private boolean bears(UpstreamPool pool, UpstreamRecord upstream, long now) {
+    private boolean accepts(UpstreamPool pool, UpstreamRecord upstream, long now) {
         return pool.cold().isEmpty()
                 || !directory.isCold(upstream, now)
                 || cold.mayTake(upstream.id(), pool.cold().get(), now);
     }
 
     /**
-     * Keeps the upstreams in the failure domain of most of the inputs, where these weigh more than the shared part of the
-     * prompt, which may have to be read again there.
+     * Keeps the upstreams in the failure domain with most of the input bytes, if these weigh more than the shared
+     * prompt part, which an upstream there may have to read again.
      */
-    private List<UpstreamRecord> near(List<UpstreamRecord> candidates, GatewayRequest request, StageInputs inputs) {
+    private List<UpstreamRecord> nearInputs(
+            List<UpstreamRecord> candidates, GatewayRequest request, StageInputs inputs) {
         Optional<String> domain = inputs.largestDomain(directory);
         if (domain.isEmpty() || inputs.bytesIn(domain.get(), directory) < request.sharedTokens() * BYTES_PER_TOKEN) {
             return candidates;
@@ -225,38 +234,39 @@
     }
 
     private Optional<UpstreamRecord> byAffinity(
-            List<UpstreamRecord> candidates, String shared, Predicate<UpstreamRecord> bears) {
+            List<UpstreamRecord> candidates, String shared, Predicate<UpstreamRecord> accepts) {
         double mean = candidates.stream()
                 .mapToInt(u -> tracker.inFlight(u.id()))
                 .average()
                 .orElse(0);
-        double bound = mean * LOAD_BOUND + LOAD_SLACK;
+        double bound = mean * LOAD_FACTOR + LOAD_SLACK;
         UpstreamRecord best = null;
-        long most = 0;
+        long bestScore = 0;
         for (UpstreamRecord upstream : candidates) {
             long score = RendezvousScore.of(shared, upstream.id());
-            boolean first = best == null || score > most;
-            if (first && tracker.inFlight(upstream.id()) <= bound && bears.test(upstream)) {
+            boolean better = best == null || score > bestScore;
+            if (better && tracker.inFlight(upstream.id()) <= bound && accepts.test(upstream)) {
                 best = upstream;
-                most = score;
+                bestScore = score;
             }
         }
         return Optional.ofNullable(best);
     }
 
-    private Optional<UpstreamRecord> byLoad(List<UpstreamRecord> candidates, Predicate<UpstreamRecord> bears) {
-        List<UpstreamRecord> bearing = candidates.stream().filter(bears).toList();
-        if (bearing.isEmpty()) {
+    private Optional<UpstreamRecord> byLoad(List<UpstreamRecord> candidates, Predicate<UpstreamRecord> accepts) {
+        List<UpstreamRecord> accepting = candidates.stream().filter(accepts).toList();
+        if (accepting.isEmpty()) {
             return Optional.empty();
         }
         int least =
-                bearing.stream().mapToInt(u -> tracker.inFlight(u.id())).min().orElseThrow();
-        List<UpstreamRecord> best =
-                bearing.stream().filter(u -> tracker.inFlight(u.id()) == least).toList();
+                accepting.stream().mapToInt(u -> tracker.inFlight(u.id())).min().orElseThrow();
+        List<UpstreamRecord> best = accepting.stream()
+                .filter(u -> tracker.inFlight(u.id()) == least)
+                .toList();
         List<UpstreamRecord> near = best.stream()
                 .filter(u -> u.failureDomain().equals(failureDomain))
                 .toList();
-        List<UpstreamRecord> among = near.isEmpty() ? best : near;
-        return Optional.of(among.get(random.nextInt(among.size())));
+        List<UpstreamRecord> preferred = near.isEmpty() ? best : near;
+        return Optional.of(preferred.get(random.nextInt(preferred.size())));
     }
 }
--- a/library/src/main/java/org/copperspindle/gateway/UpstreamDialect.java
+++ b/library/src/main/java/org/copperspindle/gateway/UpstreamDialect.java
@@ -10,71 +10,72 @@
 import org.copperspindle.http.HeaderField;
 
 /**
- * How upstreams are told what to run, and what their answers prove.
+ * Writes calls to upstreams and interprets the heads of their responses.
  */
 public interface UpstreamDialect {
 
     /**
      * Writes an attempt.
      *
-     * @param order the attempt
+     * @param attempt the attempt
      * @return the call
      */
-    DirectCall write(AttemptSpec order);
+    DirectCall write(AttemptSpec attempt);
 
     /**
-     * Says whether an answer proves that the attempt did not run and never will.
+     * Returns whether a response proves that the attempt did not run and never will.
      *
-     * @param head the answer's head
+     * @param head head of the response
      * @return false if it ran or may have run
      */
     boolean provesNotRun(DirectHead head);
 
     /**
-     * Says whether an answer tells that stage results which the attempt needs no longer exist.
+     * Returns whether a response reports that stage results which the attempt needs no longer exist.
      *
-     * @param head the answer's head
-     * @return true if they have to be made again
+     * @param head head of the response
+     * @return true if the results have to be produced again
      */
     boolean reportsMissingInputs(DirectHead head);
 
     /**
-     * Finds the upstream that answered in place of the one that was meant.
+     * Returns the upstream that responded instead of the intended one.
      *
-     * @param head the answer's head
-     * @return its id, empty if the one that was meant answered
+     * @param head head of the response
+     * @return its id; empty if the intended upstream responded
      */
     Optional<String> otherUpstream(DirectHead head);
 
     /**
-     * Reads how many requests a second the upstream that answered takes from all nodes together.
+     * Reads the rate limit of the upstream that responded: the requests per second that it takes from all nodes
+     * together.
      *
-     * @param head the answer's head
-     * @return what it says of it
+     * @param head head of the response
+     * @return the limit signal
      */
     LimitSignal limit(DirectHead head);
 
     /**
-     * Reads for how long the upstream that answered wants nothing more from this node.
+     * Reads for how long the upstream that responded requests a backoff of this node.
      *
-     * @param head the answer's head
-     * @return what it says of it
+     * @param head head of the response
+     * @return the backoff signal
      */
     BackoffSignal backoff(DirectHead head);
 
     /**
-     * Says whether the upstream that answered is about to leave.
+     * Returns whether the upstream that responded is about to leave.
      *
-     * @param head the answer's head
-     * @return true if it finishes what it has and wants nothing new from anybody
+     * @param head head of the response
+     * @return true if it finishes what it has and accepts nothing new from any node
      */
     boolean isLeaving(DirectHead head);
 
     /**
-     * Chooses the header fields that go back to the caller.
+     * Returns the header fields that are forwarded to the caller.
      *
-     * @param head the answer's head
-     * @return its fields but those of the upstream's connection
+     * @param head head of the response
+     * @return its fields without those of the upstream's connection
      */
     List<HeaderField> callerFields(DirectHead head);
 }
--- /dev/null
+++ b/library/src/main/java/org/copperspindle/gateway/UpstreamSearch.java
@@ -0,0 +1,209 @@
+package org.copperspindle.gateway;
+
+import java.time.Duration;
+import java.util.HashSet;
+import java.util.Optional;
+import java.util.OptionalLong;
+import java.util.Set;
+
+import org.copperspindle.backpressure.PermitResult;
+import org.copperspindle.discovery.UpstreamRecord;
+import org.copperspindle.route.UpstreamPool;
+
+/**
+ * Searches for the upstream of an attempt and the time at which the attempt may be sent. An upstream with a rate limit is
+ * used if a send permit is available immediately. If all upstreams that could take the request have limits, the
+ * search reserves the earliest permit within the caller's remaining time, and reports a failure immediately if there
+ * is none.
+ */
+final class UpstreamSearch {
+
+    /** Permits requested for immediate use; after that only upstreams without a limit are considered. */
+    private static final int MAX_IMMEDIATE_PERMITS = 6;
+
+    /** Upstreams that are asked for a later permit; each request costs a round trip between nodes. */
+    private static final int MAX_DELAYED_PERMITS = 3;
+
+    /** Interval for checking cold upstreams again, and those whose backoff has just ended. */
+    private static final long CHECK_INTERVAL_NANOS = Duration.ofMillis(75).toNanos();
+
+    private final GatewayContext context;
+    private final AdmittedRequest admitted;
+    private final Set<String> tried;
+    private final StageInputs inputs;
+    private final Listener listener;
+    private final Set<String> delayedPermitsRequested = new HashSet<>();
+    private int immediatePermits;
+    private boolean ended;
+
+    /**
+     * Creates a search.
+     *
+     * @param context  shared components of the node
+     * @param admitted the request
+     * @param tried    ids of upstreams that already got the request
+     * @param inputs   stage results that the upstream will fetch
+     * @param listener called once, possibly before {@link #seek} returns
+     */
+    UpstreamSearch(
+            GatewayContext context,
+            AdmittedRequest admitted,
+            Set<String> tried,
+            StageInputs inputs,
+            Listener listener) {
+        this.context = context;
+        this.admitted = admitted;
+        this.tried = tried;
+        this.inputs = inputs;
+        this.listener = listener;
+    }
+
+    /**
+     * Checks before the stages of a request whether all upstreams signal backpressure for longer than its caller
+     * waits.
+     *
+     * @param context  shared components of the node
+     * @param admitted the request
+     * @param tried    ids of upstreams that already got the request
+     * @param now      monotonic time in nanoseconds
+     * @return nanoseconds until the first upstream accepts requests again; empty if one may accept the request in
+     *     time
+     */
+    static OptionalLong backpressureNanos(
+            GatewayContext context, AdmittedRequest admitted, Set<String> tried, long now) {
+        long callerTimeNanos = admitted.times().callerTimeoutAt() - now;
+        return admitted.table()
+                .findPool(admitted.pool())
+                .map(pool -> context.chooser().earliestBeyond(pool, tried, callerTimeNanos, now))
+                .orElse(OptionalLong.empty());
+    }
+
+    /** Starts or continues the search. */
+    void seek() {
+        Optional<UpstreamPool> pool = admitted.table().findPool(admitted.pool());
+        if (ended) {
+            return;
+        }
+        if (pool.isEmpty()) {
+            reportNone(OptionalLong.empty());
+        } else {
+            seek(pool.get(), context.timers().nanoTime());
+        }
+    }
+
+    /** Cancels the search; the listener is not called after that. */
+    void cancel() {
+        ended = true;
+    }
+
+    private void seek(UpstreamPool pool, long now) {
+        UpstreamChooser chooser = context.chooser();
+        Set<String> excluded = immediatePermits < MAX_IMMEDIATE_PERMITS ? tried : includingLimited(pool, now);
+        Optional<UpstreamRecord> candidate = chooser.choose(pool, admitted.request(), inputs, excluded, now);
+        if (candidate.isPresent()) {
+            selectOrRequestPermit(pool, candidate.get());
+            return;
+        }
+        Optional<UpstreamRecord> limited = delayedPermitsRequested.size() < MAX_DELAYED_PERMITS
+                ? chooser.earliestLimited(pool, union(tried, delayedPermitsRequested), now)
+                : Optional.empty();
+        long callerTimeNanos = admitted.times().callerTimeoutAt() - now;
+        if (limited.isPresent() && callerTimeNanos > 0) {
+            delayedPermitsRequested.add(limited.get().id());
+            requestPermit(pool, limited.get(), callerTimeNanos);
+        } else {
+            retryOrGiveUp(pool, callerTimeNanos, now);
+        }
+    }
+
+    /** Waits for upstreams that are cold or back off, unless that takes longer than the caller waits. */
+    private void retryOrGiveUp(UpstreamPool pool, long callerTimeNanos, long now) {
+        OptionalLong earliest = context.chooser().earliestNanos(pool, tried, now);
+        boolean waits = context.chooser().isWarming(pool, tried, now) || earliest.isPresent();
+        long wait = Math.max(CHECK_INTERVAL_NANOS, earliest.orElse(0));
+        if (waits && delayedPermitsRequested.isEmpty() && wait < callerTimeNanos) {
+            context.timers().schedule(wait, this::seek);
+        } else {
+            reportNone(earliest);
+        }
+    }
+
+    private void selectOrRequestPermit(UpstreamPool pool, UpstreamRecord upstream) {
+        if (context.permits().isNeeded(upstream.id())) {
+            immediatePermits++;
+            requestPermit(pool, upstream, 0);
+        } else {
+            select(upstream);
+        }
+    }
+
+    private void requestPermit(UpstreamPool pool, UpstreamRecord upstream, long maxWaitNanos) {
+        context.permits().requestPermit(upstream.id(), maxWaitNanos, result -> onPermitResult(pool, upstream, result));
+    }
+
+    private void onPermitResult(UpstreamPool pool, UpstreamRecord upstream, PermitResult result) {
+        if (ended) {
+            return;
+        }
+        if (result instanceof PermitResult.Granted granted) {
+            if (granted.delayNanos() > 0) {
+                context.timers().schedule(granted.delayNanos(), () -> selectIfUsable(pool, upstream));
+            } else {
+                selectIfUsable(pool, upstream);
+            }
+        } else {
+            seek();
+        }
+    }
+
+    /** Sends with a granted permit, unless the upstream became unusable while the permit was pending. */
+    private void selectIfUsable(UpstreamPool pool, UpstreamRecord upstream) {
+        if (ended) {
+            return;
+        }
+        if (context.chooser()
+                .isStillUsable(pool, upstream, tried, context.timers().nanoTime())) {
+            select(upstream);
+        } else {
+            seek();
+        }
+    }
+
+    private void select(UpstreamRecord upstream) {
+        ended = true;
+        listener.onUpstreamSelected(upstream);
+    }
+
+    private void reportNone(OptionalLong freeNanos) {
+        ended = true;
+        listener.onNoUpstream(freeNanos);
+    }
+
+    private Set<String> includingLimited(UpstreamPool pool, long now) {
+        return union(tried, context.chooser().limited(pool, tried, now));
+    }
+
+    private static Set<String> union(Set<String> one, Set<String> other) {
+        Set<String> all = new HashSet<>(one);
+        all.addAll(other);
+        return all;
+    }
+
+    /** Receives the result of the search. */
+    interface Listener {
+        /**
+         * Called when the attempt may be sent.
+         *
+         * @param upstream the selected upstream
+         */
+        void onUpstreamSelected(UpstreamRecord upstream);
+
+        /**
+         * Called when no upstream can take the request in its time.
+         *
+         * @param freeNanos nanoseconds until an upstream with a backoff or a limit may take it; empty if there is
+         *     none
+         */
+        void onNoUpstream(OptionalLong freeNanos);
+    }
+}
--- a/library/src/main/java/org/copperspindle/gateway/UpstreamTracker.java
+++ b/library/src/main/java/org/copperspindle/gateway/UpstreamTracker.java
@@ -8,139 +8,139 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * What this node has seen of each upstream while it used it: calls in flight, failures, and a pause after failures in a
- * row. No probe is sent: traffic itself tells, and a pause that ends lets one call try.
+ * What this node observes of each upstream by its own calls: calls in flight, failures, and a pause after consecutive
+ * failures. No probes are sent: after a pause a single regular call tests the upstream.
  */
 public final class UpstreamTracker {
 
     private static final Logger LOGGER = LogManager.getLogger(UpstreamTracker.class);
 
-    /** Failures in a row after which an upstream is left alone; a single one can be a lost packet. */
-    private static final int FAILURES = 2;
+    /** Consecutive failures after which an upstream is paused; a single one can be a lost packet. */
+    private static final int FAILURE_THRESHOLD = 2;
 
     private static final long FIRST_PAUSE_NANOS = Duration.ofMillis(500).toNanos();
 
     /** Longest pause: a crashed upstream is back within a few seconds. */
-    private static final long LONGEST_PAUSE_NANOS = Duration.ofSeconds(4).toNanos();
+    private static final long MAX_PAUSE_NANOS = Duration.ofSeconds(4).toNanos();
 
-    private final Map<String, Seen> upstreams = new HashMap<>();
+    private final Map<String, UpstreamState> upstreams = new HashMap<>();
 
     /**
-     * Notes that a call goes out.
+     * Records that a call was sent.
      *
      * @param id id of the upstream
      */
     public void started(String id) {
-        seen(id).inFlight++;
+        state(id).inFlight++;
     }
 
     /**
-     * Notes that a call ended well, or was ended by this side for reasons of its own.
+     * Records that a call succeeded, or was aborted by this node.
      *
-     * @param id      id of the upstream
-     * @param proved  true if the upstream showed that it works
+     * @param id        id of the upstream
+     * @param succeeded true if the call showed that the upstream works
      */
-    public void ended(String id, boolean proved) {
-        Seen seen = seen(id);
-        seen.inFlight--;
-        if (!proved) {
+    public void ended(String id, boolean succeeded) {
+        UpstreamState state = state(id);
+        state.inFlight--;
+        if (!succeeded) {
             return;
         }
-        if (seen.paused) {
-            LOGGER.info("event=upstream-back upstream={} failures={}", id, seen.failures);
+        if (state.paused) {
+            LOGGER.info("event=upstream-back upstream={} failures={}", id, state.failures);
         }
-        seen.failures = 0;
-        seen.pauses = 0;
-        seen.paused = false;
+        state.failures = 0;
+        state.pauses = 0;
+        state.paused = false;
     }
 
     /**
-     * Notes that a call failed.
+     * Records that a call failed.
      *
      * @param id     id of the upstream
      * @param now    monotonic time in nanoseconds
      * @param reason what happened
      */
     public void failed(String id, long now, String reason) {
-        Seen seen = seen(id);
-        seen.inFlight--;
-        seen.failures++;
-        if (seen.failures < FAILURES) {
+        UpstreamState state = state(id);
+        state.inFlight--;
+        state.failures++;
+        if (state.failures < FAILURE_THRESHOLD) {
             return;
         }
-        long pause = Math.min(LONGEST_PAUSE_NANOS, FIRST_PAUSE_NANOS << Math.min(seen.pauses, 3));
-        seen.pauses++;
-        seen.paused = true;
-        seen.pausedUntil = now + pause;
+        long pause = Math.min(MAX_PAUSE_NANOS, FIRST_PAUSE_NANOS << Math.min(state.pauses, 3));
+        state.pauses++;
+        state.paused = true;
+        state.pausedUntil = now + pause;
         LOGGER.warn(
                 "event=upstream-suspected upstream={} failures={} reason={} pause_ms={}",
                 id,
-                seen.failures,
+                state.failures,
                 reason,
                 Duration.ofNanos(pause).toMillis());
     }
 
     /**
-     * Says whether an upstream should get calls.
+     * Returns whether an upstream should get calls.
      *
-     * @param id  its id
+     * @param id  id of the upstream
      * @param now monotonic time in nanoseconds
-     * @return false during a pause, and after it while one call tries
+     * @return false during a pause, and after it while the call that tests the upstream is in flight
      */
     public boolean isUsable(String id, long now) {
-        Seen seen = upstreams.get(id);
-        if (seen == null || !seen.paused) {
+        UpstreamState state = upstreams.get(id);
+        if (state == null || !state.paused) {
             return true;
         }
-        return now - seen.pausedUntil >= 0 && seen.inFlight == 0;
+        return now - state.pausedUntil >= 0 && state.inFlight == 0;
     }
 
     /**
-     * Returns how many calls of this node an upstream has.
+     * Returns the calls of this node that an upstream has in flight.
      *
-     * @param id its id
+     * @param id id of the upstream
      * @return a count
      */
     public int inFlight(String id) {
-        Seen seen = upstreams.get(id);
-        return seen == null ? 0 : seen.inFlight;
+        UpstreamState state = upstreams.get(id);
+        return state == null ? 0 : state.inFlight;
     }
 
     /**
-     * Notes which life of an upstream announces itself. Failures of the former life say nothing of the new one, which would
-     * stay unused for the rest of the pause; calls in flight end by themselves.
+     * Records the announced incarnation of an upstream. Failures of the previous incarnation say nothing about the
+     * new one, which would otherwise stay unused for the rest of the pause; calls in flight end by themselves.
      *
-     * @param id          its id
-     * @param incarnation when that life began
+     * @param id          id of the upstream
+     * @param incarnation when the incarnation started
      */
     public void updateIncarnation(String id, long incarnation) {
-        Seen seen = seen(id);
-        if (seen.incarnation != incarnation && seen.paused) {
+        UpstreamState state = state(id);
+        if (state.incarnation != incarnation && state.paused) {
             LOGGER.info("event=upstream-restarted upstream={} incarnation={}", id, incarnation);
-            seen.failures = 0;
-            seen.pauses = 0;
-            seen.paused = false;
+            state.failures = 0;
+            state.pauses = 0;
+            state.paused = false;
         }
-        seen.incarnation = incarnation;
+        state.incarnation = incarnation;
     }
 
     /**
-     * Forgets an upstream that has left.
+     * Removes an upstream that has left.
      *
-     * @param id its id
+     * @param id id of the upstream
      */
     public void forget(String id) {
-        Seen seen = upstreams.get(id);
-        if (seen != null && seen.inFlight == 0) {
+        UpstreamState state = upstreams.get(id);
+        if (state != null && state.inFlight == 0) {
             upstreams.remove(id);
         }
     }
 
-    private Seen seen(String id) {
-        return upstreams.computeIfAbsent(id, i -> new Seen());
+    private UpstreamState state(String id) {
+        return upstreams.computeIfAbsent(id, i -> new UpstreamState());
     }
 
-    private static final class Seen {
+    private static final class UpstreamState {
         private long incarnation;
         private int inFlight;
         private int failures;
--- a/library/src/test/java/org/copperspindle/gateway/EventFramerTest.java
+++ b/library/src/test/java/org/copperspindle/gateway/EventFramerTest.java
@@ -15,10 +15,13 @@
     private static final String STREAM =
             "id: 1\ndata: a\n\nid: 2\r\ndata: bb\r\n\r\ndata: no id\n\nid: x\ndata: c\n\nid: 5\nda";
 
-    /** Bytes arrive cut at any place; an upstream that stops in the middle of an event leaves a rest. */
+    /**
+     * Chunks of the stream may end at any byte; an upstream that stops in the middle of an event leaves a partial
+     * event.
+     */
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3, 7, 13, 1000})
-    void cutsTheStreamIntoWholeEvents(int size) {
+    void splitsTheStreamIntoCompleteEvents(int size) {
         EventFramer framer = new EventFramer();
         List<StreamEvent> events = new ArrayList<>();
         byte[] all = STREAM.getBytes(StandardCharsets.UTF_8);
@@ -30,6 +33,6 @@
                 .containsExactly(
                         "id: 1\ndata: a\n\n", "id: 2\r\ndata: bb\r\n\r\n", "data: no id\n\n", "id: x\ndata: c\n\n");
         assertThat(events).extracting(e -> e.id().orElse(-1)).containsExactly(1L, 2L, -1L, -1L);
-        assertThat(framer.hasRest()).isTrue();
+        assertThat(framer.hasPartialEvent()).isTrue();
     }
 }
--- a/library/src/test/java/org/copperspindle/gateway/PriorWaitEstimatorTest.java
+++ b/library/src/test/java/org/copperspindle/gateway/PriorWaitEstimatorTest.java
@@ -13,19 +13,19 @@
 
     private final PriorWaitEstimator waits = new PriorWaitEstimator();
 
-    /** Callers of one route wait for 17 to 23 s. All come for the first time, and none may be taken for late. */
+    /** Callers of one route have timeouts of 17 to 23 s. All come for the first time, and none may count as a retry. */
     @Test
-    void callersOfDifferentPatienceHaveNotWaited() {
+    void callersWithDifferentTimeoutsHaveNotWaited() {
         long waited = LongStream.rangeClosed(0, 600)
                 .map(i -> waits.waitedMillis("r", OptionalLong.of(23_000 - i * 10)))
                 .sum();
         assertThat(waited).isZero();
     }
 
-    /** A caller was told to come back after a quarter of its time, and does. */
+    /** A caller was told to retry after a quarter of its time, and does. */
     @ParameterizedTest
     @CsvSource({"15000, 11000, 4000", "15000, 11200, 0", "15000, 14900, 0"})
-    void callerWithMuchLessTimeWasHereBefore(long longest, long left, long waited) {
+    void callerWithMuchLessTimeIsARetry(long longest, long left, long waited) {
         assertThat(waits.waitedMillis("r", OptionalLong.of(longest))).isZero();
         assertThat(waits.waitedMillis("r", OptionalLong.of(left))).isEqualTo(waited);
         assertThat(waits.waitedMillis("other", OptionalLong.of(left))).isZero();
--- a/library/src/test/java/org/copperspindle/gateway/ReplayedLoad.java
+++ b/library/src/test/java/org/copperspindle/gateway/ReplayedLoad.java
@@ -7,20 +7,20 @@
 import org.copperspindle.route.RouteStage;
 
 /**
- * A deployment's stage pools and what is asked of them for half a minute.
+ * The stage pools of a deployment and half a minute of requests to them.
  *
  * @param domains failure domains over which upstreams and callers are spread
  * @param pools   its stage pools
- * @param kinds   its kinds of requests
- * @param bursts  when more is asked than usual
+ * @param kinds   its request kinds
+ * @param bursts  intervals with a higher request rate
  */
 record ReplayedLoad(int domains, List<Pool> pools, List<Kind> kinds, List<Burst> bursts) {
 
     private static final String ALL_KINDS = "";
 
     /**
-     * Returns a load of briefs, summaries and questions. Briefs come more often from 4 to 10 s, summaries from 16 to 22 s,
-     * all from 26 to 30 s.
+     * Returns a load of briefs, summaries and questions. Bursts: briefs from 4 to 10 s, summaries from 16 to 22 s,
+     * all kinds from 26 to 30 s.
      */
     static ReplayedLoad briefsSummariesQuestions() {
         return new ReplayedLoad(
@@ -69,9 +69,9 @@
     }
 
     /**
-     * Returns a load of reviews, descriptions and tags. Descriptions and tags need the same chain of three pools; tags are less
-     * urgent and have the longer objective. Descriptions come more often from 4 to 10 s, reviews from 16 to 22 s, all from 26
-     * to 30 s.
+     * Returns a load of reviews, descriptions and tags. Descriptions and tags need the same chain of three pools;
+     * tags are less urgent and have the longer objective. Bursts: descriptions from 4 to 10 s, reviews from 16 to 22
+     * s, all kinds from 26 to 30 s.
      */
     static ReplayedLoad reviewsDescriptionsTags() {
         return new ReplayedLoad(
@@ -120,8 +120,9 @@
     }
 
     /**
-     * Returns the load of reviews, descriptions and tags on a fleet of six failure domains, with three to five upstreams of
-     * each stage pool in each. Descriptions come more often from 5 to 11 s, reviews from 17 to 23 s, all from 26 to 30 s.
+     * Returns the load of reviews, descriptions and tags on a deployment of six failure domains, with three to five
+     * upstreams of each stage pool in each. Bursts: descriptions from 5 to 11 s, reviews from 17 to 23 s, all kinds
+     * from 26 to 30 s.
      */
     static ReplayedLoad sixDomains() {
         ReplayedLoad four = reviewsDescriptionsTags();
@@ -141,12 +142,12 @@
                         new Burst(ALL_KINDS, 26, 30, 1.5)));
     }
 
-    /** Returns how many times as often as usual a kind comes at a second. */
-    double factor(String kind, double second) {
+    /** Returns the factor of a kind's request rate at a second. */
+    double rateFactor(String kind, double second) {
         return bursts.stream()
                 .filter(burst -> burst.kind().equals(kind) || burst.kind().equals(ALL_KINDS))
                 .filter(burst -> second >= burst.from() && second < burst.until())
-                .mapToDouble(Burst::factor)
+                .mapToDouble(Burst::rateFactor)
                 .findFirst()
                 .orElse(1);
     }
@@ -155,11 +156,11 @@
         return new RouteStage(pool, List.of(after), bytes);
     }
 
-    /** A stage pool; times in milliseconds, memory for results of one upstream in bytes. */
+    /** A stage pool; times in milliseconds, result memory of one upstream in bytes. */
     record Pool(String name, int upstreams, int batch, double call, double piece, long bytes) {}
 
     /**
-     * A kind of requests; times in milliseconds.
+     * A request kind; times in milliseconds.
      *
      * @param pieces draws the pieces of each stage
      */
@@ -177,6 +178,6 @@
         }
     }
 
-    /** Seconds in which a kind comes more often. */
-    record Burst(String kind, double from, double until, double factor) {}
+    /** An interval in seconds with a higher request rate of a kind. */
+    record Burst(String kind, double from, double until, double rateFactor) {}
 }
--- a/library/src/test/java/org/copperspindle/gateway/SimulatedStages.java
+++ b/library/src/test/java/org/copperspindle/gateway/SimulatedStages.java
@@ -16,15 +16,16 @@
 import org.copperspindle.time.TimerService;
 
 /**
- * Stage upstreams in virtual time, with the memory for results and the links that bind them under load. One call at a time;
- * results are kept from the turn of their call until they are freed or forgotten, and inputs are fetched at the turn.
+ * Stage upstreams in virtual time, with the result memory and the links that limit them under load. An upstream runs
+ * one call at a time. It fetches the inputs when the call starts, and keeps results from then until they are released
+ * or expire.
  */
 final class SimulatedStages implements StagePort {
 
     private static final double LINK_BYTES_PER_NANO = 1.25;
 
-    /** One way of a short message, with a new connection. */
-    private static final long WAY_NANOS = 2_000_000;
+    /** Duration of a short message in one direction, over a new connection. */
+    private static final long ONE_WAY_NANOS = 2_000_000;
 
     private final TimerService timers;
     private final Map<String, BatchLimits> pools;
@@ -33,13 +34,13 @@
     private final Map<String, Integer> callsByPool = new HashMap<>();
     private long lastHandle;
     private long readBytes;
-    private long movedBytes;
+    private long crossDomainBytes;
 
     /**
      * Creates the upstreams.
      *
      * @param pools limits by pool
-     * @param sizes bytes of one result by request, stage and pool; see {@link #size}
+     * @param sizes bytes of one result by request and stage; see {@link #size}
      */
     SimulatedStages(TimerService timers, Map<String, BatchLimits> pools, Map<String, Long> sizes) {
         this.timers = timers;
@@ -58,66 +59,66 @@
         }
         server.calls++;
         callsByPool.merge(upstream.pool(), 1, Integer::sum);
-        long turn = Math.max(timers.nanoTime(), server.busyUntil);
-        // The end is known once the inputs are fetched; until then the next call waits behind at least the call's own
-        // time.
-        server.busyUntil = turn + limits.expectedNanos(items.size());
-        timers.schedule(turn - timers.nanoTime(), () -> begin(server, limits, items, callback));
+        long startAt = Math.max(timers.nanoTime(), server.busyUntil);
+        // The end is known once the inputs are fetched; until then the next call waits at least for the own time of
+        // this call.
+        server.busyUntil = startAt + limits.expectedNanos(items.size());
+        timers.schedule(startAt - timers.nanoTime(), () -> start(server, limits, items, callback));
     }
 
     @Override
     public void free(UpstreamRecord upstream, List<String> handles, Runnable ended) {
-        timers.schedule(WAY_NANOS, () -> handles.forEach(server(upstream)::drop));
-        timers.schedule(2 * WAY_NANOS, ended);
+        timers.schedule(ONE_WAY_NANOS, () -> handles.forEach(server(upstream)::drop));
+        timers.schedule(2 * ONE_WAY_NANOS, ended);
     }
 
-    /** Returns how much of their inputs upstreams have fetched from other failure domains. */
-    long movedBytes() {
-        return movedBytes;
+    /** Returns the input bytes that upstreams have fetched from other failure domains. */
+    long crossDomainBytes() {
+        return crossDomainBytes;
     }
 
-    /** Returns how much of their inputs upstreams have fetched, from wherever. */
+    /** Returns the input bytes that upstreams have fetched from any failure domain. */
     long readBytes() {
         return readBytes;
     }
 
-    /** Returns how many calls a pool has had. */
+    /** Returns the number of calls to a pool. */
     int calls(String pool) {
         return callsByPool.getOrDefault(pool, 0);
     }
 
-    /** Key of a result's size. */
+    /** Returns the key of a result's size. */
     static String size(String requestId, int stage) {
         return requestId + '/' + stage;
     }
 
-    private void begin(Server server, BatchLimits limits, List<StageItem> items, Consumer<StageCallResult> callback) {
+    private void start(Server server, BatchLimits limits, List<StageItem> items, Consumer<StageCallResult> callback) {
         List<PieceOutcome> outcomes = new ArrayList<>();
         long fetched = 0;
-        int made = 0;
+        int producedCount = 0;
         for (StageItem item : items) {
             long inputs = inputBytes(server, item);
             long bytes = sizes.getOrDefault(size(item.requestId(), item.stage()), 0L);
             if (inputs < 0) {
                 outcomes.add(new PieceOutcome.Missed(MissReason.INPUT_GONE));
-            } else if (server.held + bytes > limits.resultBytes()) {
+            } else if (server.usedBytes + bytes > limits.resultBytes()) {
                 outcomes.add(new PieceOutcome.Missed(MissReason.NO_ROOM));
             } else {
                 fetched += inputs;
-                made++;
+                producedCount++;
                 outcomes.add(new PieceOutcome.Made(server.keep("h" + ++lastHandle, bytes)));
             }
         }
-        long end = limits.expectedNanos(made) + (long) (fetched / LINK_BYTES_PER_NANO);
+        long end = limits.expectedNanos(producedCount) + (long) (fetched / LINK_BYTES_PER_NANO);
         server.busyUntil = Math.max(server.busyUntil, timers.nanoTime() + end);
         timers.schedule(end, () -> {
             server.calls--;
-            forgetLater(server, limits, outcomes);
+            expireLater(server, limits, outcomes);
             callback.accept(new StageCallResult.Answered(outcomes));
         });
     }
 
-    private void forgetLater(Server server, BatchLimits limits, List<PieceOutcome> outcomes) {
+    private void expireLater(Server server, BatchLimits limits, List<PieceOutcome> outcomes) {
         timers.schedule(
                 limits.resultRetentionNanos(),
                 () -> outcomes.forEach(outcome -> {
@@ -127,18 +128,18 @@
                 }));
     }
 
-    /** Returns the size of all inputs of a piece, or -1 if one is gone. */
+    /** Returns the size of all inputs of a piece, or -1 if one no longer exists. */
     private long inputBytes(Server reader, StageItem item) {
         long sum = 0;
         for (String handle : item.inputs()) {
-            Server maker = servers.get(handle.substring(0, handle.indexOf('/')));
-            Long bytes = maker == null ? null : maker.results.get(handle);
+            Server producer = servers.get(handle.substring(0, handle.indexOf('/')));
+            Long bytes = producer == null ? null : producer.results.get(handle);
             if (bytes == null) {
                 return -1;
             }
             sum += bytes;
             readBytes += bytes;
-            movedBytes += maker.domain.equals(reader.domain) ? 0 : bytes;
+            crossDomainBytes += producer.domain.equals(reader.domain) ? 0 : bytes;
         }
         return sum;
     }
@@ -155,7 +156,7 @@
         private final Map<String, Long> results = new HashMap<>();
         private int calls;
         private long busyUntil;
-        private long held;
+        private long usedBytes;
 
         private Server(String address) {
             this.address = address;
@@ -164,13 +165,13 @@
         private String keep(String number, long bytes) {
             String handle = address + '/' + number;
             results.put(handle, bytes);
-            held += bytes;
+            usedBytes += bytes;
             return handle;
         }
 
         private void drop(String handle) {
             Long bytes = results.remove(handle);
-            held -= bytes == null ? 0 : bytes;
+            usedBytes -= bytes == null ? 0 : bytes;
         }
     }
 }
--- a/library/src/test/java/org/copperspindle/gateway/LoneBatches.java
+++ b/library/src/test/java/org/copperspindle/gateway/SingleNodeBatches.java
@@ -20,9 +20,9 @@
 import org.copperspindle.wire.WireTransport;
 
 /**
- * Stage work of a node without others, for tests: it packs the calls of all pools itself.
+ * Batch service of a single node for tests; the node is the dispatcher of all pools.
  */
-final class LoneBatches implements AutoCloseable {
+final class SingleNodeBatches implements AutoCloseable {
 
     private static final String SELF = "127.0.0.1:1";
     private static final String CONTROL = "127.0.0.1:9";
@@ -32,7 +32,8 @@
             1, WireTransport.registry(), new GreetingMessage(GreetingMessage.PROTOCOL, "gateway", SELF, 1));
     private final BatchService service;
 
-    LoneBatches(TimerService timers, UpstreamDirectory directory, StagePort port, Map<String, BatchLimits> limits) {
+    SingleNodeBatches(
+            TimerService timers, UpstreamDirectory directory, StagePort port, Map<String, BatchLimits> limits) {
         InetSocketAddress listen = new InetSocketAddress("127.0.0.1", 1);
         NodeMesh mesh = new NodeMesh(
                 new MeshSettings(listen, listen, CONTROL, DOMAIN, false, List.of()),
@@ -45,7 +46,7 @@
                 directory,
                 port,
                 name -> Optional.ofNullable(limits.get(name)),
-                new Alone(),
+                new SingleNodeStatus(),
                 new DecisionLog(0, 0));
         service.start();
     }
@@ -59,8 +60,8 @@
         transport.close();
     }
 
-    /** The only node. */
-    private static final class Alone implements DispatcherStatus {
+    /** Status of the only node, which always serves. */
+    private static final class SingleNodeStatus implements DispatcherStatus {
         @Override
         public boolean isServing() {
             return true;
--- a/library/src/test/java/org/copperspindle/gateway/LonePermits.java
+++ b/library/src/test/java/org/copperspindle/gateway/SingleNodePermits.java
@@ -8,16 +8,16 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * Permits of a node that is alone and keeps all limits itself.
+ * Send permits of a single node that owns all limits.
  */
-final class LonePermits implements SendPermits.Link {
+final class SingleNodePermits implements SendPermits.Link {
 
     private static final String SELF = "n0";
 
-    private LonePermits() {}
+    private SingleNodePermits() {}
 
     static SendPermits of(UpstreamLimits limits, TimerService timers) {
-        return new SendPermits(limits, upstream -> Optional.of(SELF), new LonePermits(), timers);
+        return new SendPermits(limits, upstream -> Optional.of(SELF), new SingleNodePermits(), timers);
     }
 
     @Override
--- a/library/src/test/java/org/copperspindle/gateway/StageAdmissionTest.java
+++ b/library/src/test/java/org/copperspindle/gateway/StageAdmissionTest.java
@@ -24,12 +24,12 @@
     private static final double PIECES_PER_SECOND = 400;
 
     private long waitMillis;
-    private long promised;
-    private final StageAdmission gate = new StageAdmission(this::load, new FirstEventLatencies());
+    private long expectedPieces;
+    private final StageAdmission admission = new StageAdmission(this::load, new FirstEventLatencies());
 
     /**
-     * A route of two stages with an objective of 2 s, whose shortest run takes 720 ms. The pools tell of longer and longer
-     * waits, as a burst fills them; a caller has waited already or not.
+     * A route of two stages with an objective of 2 s, whose shortest run takes 720 ms. The pools report longer and
+     * longer waits as a burst fills them; the caller comes for the first time or has waited before.
      */
     @ParameterizedTest
     @CsvSource({
@@ -41,134 +41,151 @@
         "1600, 1500, 2100, REFUSE",
         "1900, 1500, 600, REFUSE"
     })
-    void beginsWhatCanBeOnTimeAndHoldsOrRefusesTheRest(
+    void startsRequestsInTimeAndDefersOrRefusesOthers(
             long wait, long waitedMillis, long deadlineMillis, StageAdmissionVerdict verdict) {
         waitMillis = wait;
-        assertThat(gate.judge(request(waitedMillis, deadlineMillis), false, 0).verdict())
+        assertThat(admission
+                        .decide(request(waitedMillis, deadlineMillis), false, 0)
+                        .verdict())
                 .isEqualTo(verdict);
     }
 
     /**
-     * A burst fills the pools for seconds. A caller that comes for the first time hears after a quarter of its objective
-     * that there is no room, rather than after seconds; one that has come back is held on, since it would else have waited
-     * twice for nothing.
+     * A burst fills the pools for seconds. A caller that comes for the first time is refused after a quarter of its
+     * objective, rather than after seconds; one that has come back stays deferred, since it would otherwise have
+     * waited twice in vain.
      */
     @ParameterizedTest
     @CsvSource({"0, 499, HOLD", "0, 500, REFUSE", "1500, 500, HOLD", "1500, 5900, REFUSE"})
-    void tellsFirstComersSoonAndHoldsThoseThatCameBack(
-            long waitedMillis, long heldMillis, StageAdmissionVerdict verdict) {
+    void refusesFirstAttemptsSoonAndDefersRetries(
+            long waitedMillis, long deferredMillis, StageAdmissionVerdict verdict) {
         waitMillis = 5000;
-        assertThat(gate.judge(request(waitedMillis, 20_000), true, heldMillis * MILLI)
+        assertThat(admission
+                        .decide(request(waitedMillis, 20_000), true, deferredMillis * MILLI)
                         .verdict())
                 .isEqualTo(verdict);
     }
 
     /**
-     * A caller has come back, and its stream takes two seconds after its first event. Begun so late that the caller leaves in its
-     * middle, it would use up pools and an engine in a burst, for nobody; held until then, the caller would hear nothing.
+     * A caller has come back, and its stream takes two seconds after its first event. Started so late that the caller
+     * leaves during the stream, the request would use pools and an engine in a burst for nothing; deferred until
+     * then, the caller would get no response.
      */
     @ParameterizedTest
     @CsvSource({"0, 4000, BEGIN", "0, 2600, REFUSE", "1600, 8000, HOLD", "1600, 4000, REFUSE"})
-    void beginsNothingThatItsCallerWouldNotSeeTheEndOf(long wait, long deadlineMillis, StageAdmissionVerdict verdict) {
+    void startsNothingThatEndsAfterItsCallerLeaves(long wait, long deadlineMillis, StageAdmissionVerdict verdict) {
         waitMillis = wait;
         AdmittedRequest request = request(5000, deadlineMillis, 2000 * MILLI, 0);
-        assertThat(gate.judge(request, false, 0).verdict()).isEqualTo(verdict);
+        assertThat(admission.decide(request, false, 0).verdict()).isEqualTo(verdict);
     }
 
-    /** In a load that lasts, pools are never idle: the longer a caller was held, the longer the waits it may begin at. */
+    /**
+     * Under a lasting load pools are never idle: the longer a request was deferred, the longer the waits at which it
+     * may start.
+     */
     @ParameterizedTest
     @CsvSource({"0, HOLD", "1000, HOLD", "3000, BEGIN"})
-    void heldRequestBeginsAtLongerWaitsInTime(long heldMillis, StageAdmissionVerdict verdict) {
+    void deferredRequestStartsAtLongerWaitsOverTime(long deferredMillis, StageAdmissionVerdict verdict) {
         waitMillis = 140;
-        assertThat(gate.judge(request(5000, 20_000), true, heldMillis * MILLI).verdict())
+        assertThat(admission
+                        .decide(request(5000, 20_000), true, deferredMillis * MILLI)
+                        .verdict())
                 .isEqualTo(verdict);
     }
 
-    /** Requests in their first stage will fill the pool of the second: its queue is still empty when the next one comes. */
+    /**
+     * Requests in their first stage will fill the pool of the second one, whose queue is still empty when the next
+     * request comes.
+     */
     @Test
-    void countsWhatRequestsBeforeItWillSend() {
+    void countsExpectedPiecesOfEarlierRequests() {
         AdmittedRequest request = request(0, 20_000);
-        assertThat(gate.judge(request, false, 0).verdict()).isEqualTo(StageAdmissionVerdict.BEGIN);
-        promised = 960;
-        assertThat(gate.judge(request, false, 0).verdict()).isEqualTo(StageAdmissionVerdict.HOLD);
-        promised = 0;
-        assertThat(gate.judge(request, false, 0).verdict()).isEqualTo(StageAdmissionVerdict.BEGIN);
+        assertThat(admission.decide(request, false, 0).verdict()).isEqualTo(StageAdmissionVerdict.BEGIN);
+        expectedPieces = 960;
+        assertThat(admission.decide(request, false, 0).verdict()).isEqualTo(StageAdmissionVerdict.HOLD);
+        expectedPieces = 0;
+        assertThat(admission.decide(request, false, 0).verdict()).isEqualTo(StageAdmissionVerdict.BEGIN);
     }
 
-    /** A burst is over and many requests are held at once: they begin one after the other. */
+    /** A burst is over while many requests are deferred: they start one after the other. */
     @Test
-    void heldRequestsBeginOneAtATime() {
+    void deferredRequestsStartOneAtATime() {
         AdmittedRequest late = request(5000, 20_000);
-        gate.held(2);
-        assertThat(gate.judge(late, true, 0).verdict()).isEqualTo(StageAdmissionVerdict.BEGIN);
-        assertThat(gate.judge(late, true, 241 * MILLI).verdict()).isEqualTo(StageAdmissionVerdict.HOLD);
-        assertThat(gate.judge(late, true, 242 * MILLI).verdict()).isEqualTo(StageAdmissionVerdict.BEGIN);
-        assertThat(gate.judge(late, false, 400 * MILLI).verdict())
-                .as("not before those held")
+        admission.adjustDeferred(2);
+        assertThat(admission.decide(late, true, 0).verdict()).isEqualTo(StageAdmissionVerdict.BEGIN);
+        assertThat(admission.decide(late, true, 241 * MILLI).verdict()).isEqualTo(StageAdmissionVerdict.HOLD);
+        assertThat(admission.decide(late, true, 242 * MILLI).verdict()).isEqualTo(StageAdmissionVerdict.BEGIN);
+        assertThat(admission.decide(late, false, 400 * MILLI).verdict())
+                .as("not before the deferred ones")
                 .isEqualTo(StageAdmissionVerdict.HOLD);
     }
 
     /**
-     * Stages take longer than the loads of their pools tell, for a reason that loads don't show. Requests that could just
-     * be on time by the loads would be late: they are sent away until stages take as long as reckoned again.
+     * Stages take longer than the loads of their pools explain. Requests that could just be in time by the loads
+     * would be late: they are not started until the stages take as long as estimated again.
      */
     @Test
-    void learnsThatStagesTakeLonger() {
+    void learnsStageOverruns() {
         waitMillis = 740;
         AdmittedRequest request = request(0, 20_000);
-        StageAdmissionDecision judgement = gate.judge(request, false, 0);
-        assertThat(judgement.verdict()).isEqualTo(StageAdmissionVerdict.BEGIN);
+        StageAdmissionDecision decision = admission.decide(request, false, 0);
+        assertThat(decision.verdict()).isEqualTo(StageAdmissionVerdict.BEGIN);
         for (int i = 0; i < 30; i++) {
-            gate.ran(request.route(), judgement.reckonedNanos(), judgement.reckonedNanos() + 400 * MILLI, 0);
+            admission.recordStages(
+                    request.route(), decision.estimatedStagesNanos(), decision.estimatedStagesNanos() + 400 * MILLI, 0);
         }
-        assertThat(gate.judge(request, false, 0).verdict()).isEqualTo(StageAdmissionVerdict.HOLD);
+        assertThat(admission.decide(request, false, 0).verdict()).isEqualTo(StageAdmissionVerdict.HOLD);
         for (int i = 0; i < 30; i++) {
-            gate.ran(request.route(), judgement.reckonedNanos(), judgement.reckonedNanos(), 0);
+            admission.recordStages(
+                    request.route(), decision.estimatedStagesNanos(), decision.estimatedStagesNanos(), 0);
         }
-        assertThat(gate.judge(request, false, 0).verdict()).isEqualTo(StageAdmissionVerdict.BEGIN);
+        assertThat(admission.decide(request, false, 0).verdict()).isEqualTo(StageAdmissionVerdict.BEGIN);
     }
 
     /**
-     * A node stood still while requests ran, and their stages seemed to take long. Its callers would be refused for as long as
-     * the load lasts: pools are not idle, and nothing runs that could show better. After five seconds it is forgotten.
+     * A node was paused while requests ran, so their stages seemed to take long. Its callers would be refused for as
+     * long as the load lasts: the pools are not idle, and nothing runs that could correct the overrun. It expires
+     * after five seconds.
      */
     @ParameterizedTest
     @CsvSource({"5000, HOLD", "5001, BEGIN"})
-    void forgetsWhatWasLearnedOnceNothingRuns(long laterMillis, StageAdmissionVerdict verdict) {
+    void overrunExpiresWhenNothingRuns(long laterMillis, StageAdmissionVerdict verdict) {
         waitMillis = 740;
         AdmittedRequest request = request(0, 20_000);
-        long reckoned = gate.judge(request, false, 0).reckonedNanos();
+        long estimatedNanos = admission.decide(request, false, 0).estimatedStagesNanos();
         for (int i = 0; i < 30; i++) {
-            gate.ran(request.route(), reckoned, reckoned + 8000 * MILLI, 0);
+            admission.recordStages(request.route(), estimatedNanos, estimatedNanos + 8000 * MILLI, 0);
         }
         long now = laterMillis * MILLI;
-        assertThat(gate.judge(request(0, 20_000, now), false, now).verdict()).isEqualTo(verdict);
+        assertThat(admission.decide(request(0, 20_000, now), false, now).verdict())
+                .isEqualTo(verdict);
     }
 
     /**
-     * A fault made stages take so long that no request looks as if it could be on time, and it is over. Were nothing begun,
-     * nothing would be learned, and everything refused for ever: while pools are idle, requests begin.
+     * During a fault the stages took so long that no request seems able to be in time. The fault is over. If nothing
+     * started, nothing could be learned and everything would be refused for ever: while the pools are idle, requests
+     * start.
      */
     @Test
-    void idlePoolsGetRequestsWhateverWasLearned() {
+    void idlePoolsGetRequestsDespiteOverruns() {
         AdmittedRequest request = request(0, 20_000);
-        long reckoned = gate.judge(request, false, 0).reckonedNanos();
+        long estimatedNanos = admission.decide(request, false, 0).estimatedStagesNanos();
         for (int i = 0; i < 100; i++) {
-            gate.ran(request.route(), reckoned, reckoned + 60_000 * MILLI, 0);
+            admission.recordStages(request.route(), estimatedNanos, estimatedNanos + 60_000 * MILLI, 0);
         }
-        assertThat(gate.judge(request(1500, 20_000), false, 0).verdict()).isEqualTo(StageAdmissionVerdict.BEGIN);
+        assertThat(admission.decide(request(1500, 20_000), false, 0).verdict()).isEqualTo(StageAdmissionVerdict.BEGIN);
     }
 
     @Test
-    void refusesBeyondTheMostThatAreHeld() {
+    void refusesBeyondMaximumOfDeferredRequests() {
         waitMillis = 1600;
-        gate.held(32);
-        assertThat(gate.judge(request(0, 20_000), false, 0).verdict()).isEqualTo(StageAdmissionVerdict.REFUSE);
-        assertThat(gate.judge(request(0, 20_000), true, 0).verdict()).isEqualTo(StageAdmissionVerdict.HOLD);
+        admission.adjustDeferred(32);
+        assertThat(admission.decide(request(0, 20_000), false, 0).verdict()).isEqualTo(StageAdmissionVerdict.REFUSE);
+        assertThat(admission.decide(request(0, 20_000), true, 0).verdict()).isEqualTo(StageAdmissionVerdict.HOLD);
     }
 
     private PoolLoad load(String pool) {
-        return new PoolLoad(waitMillis * MILLI, PIECES_PER_SECOND, pool.equals("s2") ? promised : 0);
+        return new PoolLoad(waitMillis * MILLI, PIECES_PER_SECOND, pool.equals("s2") ? expectedPieces : 0);
     }
 
     private static AdmittedRequest request(long waitedMillis, long deadlineMillis) {
