--- a/library/src/test/java/org/copperspindle/gateway/StageLoadReplay.java
+++ b/library/src/test/java/org/copperspindle/gateway/StageLoadReplay.java
@@ -29,21 +29,21 @@
 import org.copperspindle.time.VirtualTimerService;
 
 /**
- * Replays half a minute of callers against the decisions before the engines, in virtual time: the gate, the stages of each
- * request and the calls of three stage pools. Three kinds of requests share the pools, and for some seconds one kind after
- * the other comes more often ({@link ReplayedLoad}). Refused callers come back once, when they are told to. All times of the
- * deployment can be stretched together.
+ * Replays half a minute of requests against the decisions before the engines, in virtual time: the stage admission,
+ * the stages of each request and the calls of three stage pools. Three request kinds share the pools, with bursts of
+ * one kind after the other ({@link ReplayedLoad}). Refused callers retry once, after the delay that they are given.
+ * All times of the deployment can be scaled together.
  */
 final class StageLoadReplay implements AutoCloseable {
 
     private static final long MILLI = 1_000_000L;
     private static final long SECOND = 1_000_000_000L;
-    private static final long LOOK_NANOS = 75 * MILLI;
-    private static final long READ_NANOS = 100 * MILLI;
-    private static final int CLUMP = 3;
+    private static final long CHECK_NANOS = 75 * MILLI;
+    private static final long FETCH_NANOS = 100 * MILLI;
+    private static final int MEAN_GROUP_SIZE = 3;
     private static final long ENGINE_NANOS = 120 * MILLI;
 
-    /** What a node knows of a pool is as old as this on the average. */
+    /** Average age of what a node knows about the load of a pool. */
     private static final long LOAD_AGE_NANOS = 80 * MILLI;
 
     private final VirtualTimerService time = new VirtualTimerService();
@@ -51,61 +51,64 @@
     private final Map<String, BatchLimits> limits = new HashMap<>();
     private final Map<String, Long> sizes = new HashMap<>();
     private final List<Kind> kinds;
-    private final ReplayedLoad asked;
+    private final ReplayedLoad spec;
     private final double stretch;
     private final double load;
     private final SplittableRandom random;
-    private final RetryAfterDelays returns;
-    private final LoneBatches lone;
+    private final RetryAfterDelays retryAfterDelays;
+    private final SingleNodeBatches singleNode;
     private final BatchService batches;
-    private final FirstEventLatencies firstEvents = new FirstEventLatencies();
-    private final StageAdmission gate;
+    private final FirstEventLatencies firstEventLatencies = new FirstEventLatencies();
+    private final StageAdmission admission;
     private final RouteTable table;
     private final Map<String, Score> scores = new TreeMap<>();
     private final SimulatedStages stages;
-    private final Map<String, Told> told = new HashMap<>();
+    private final Map<String, ReportedLoad> reportedLoads = new HashMap<>();
     private long lastId;
-    private long movedBytes;
+    private long crossDomainBytes;
     private long readBytes;
 
     /**
-     * Prepares a replay.
+     * Creates a replay.
      *
-     * @param asked   the deployment and its callers
+     * @param spec    the deployment and its request kinds
      * @param stretch factor of all times of the deployment; rates are divided by it
      * @param load    factor of all rates
      * @param seed    draws arrivals and sizes
      */
-    StageLoadReplay(ReplayedLoad asked, double stretch, double load, long seed) {
-        this.asked = asked;
+    StageLoadReplay(ReplayedLoad spec, double stretch, double load, long seed) {
+        this.spec = spec;
         this.stretch = stretch;
         this.load = load;
         this.random = new SplittableRandom(seed);
-        this.returns = new RetryAfterDelays(random);
-        asked.pools().forEach(this::pool);
-        this.kinds = asked.kinds().stream().map(this::kind).toList();
+        this.retryAfterDelays = new RetryAfterDelays(random);
+        spec.pools().forEach(this::pool);
+        this.kinds = spec.kinds().stream().map(this::kind).toList();
         List<UpstreamPool> pools = new ArrayList<>(List.of(TestRoutes.pool("engines")));
         limits.forEach((name, each) ->
                 pools.add(new UpstreamPool(name, 300, Optional.of(each), OptionalInt.empty(), Optional.empty())));
         this.table = TestRoutes.table(1, kinds.stream().map(Kind::route).toList(), pools);
         this.stages = new SimulatedStages(time, limits, sizes);
-        this.lone = new LoneBatches(time, directory, stages, limits);
-        this.batches = lone.service();
-        this.gate = new StageAdmission(this::toldLoad, firstEvents);
+        this.singleNode = new SingleNodeBatches(time, directory, stages, limits);
+        this.batches = singleNode.service();
+        this.admission = new StageAdmission(this::reportedLoad, firstEventLatencies);
     }
 
-    /** Returns what a gate knows of a pool: a node that does not pack its calls hears of loads and promises now and then. */
-    private PoolLoad toldLoad(String pool) {
+    /**
+     * Returns the load of a pool as an admission sees it: a node that is not the dispatcher receives loads and
+     * expected pieces only at intervals.
+     */
+    private PoolLoad reportedLoad(String pool) {
         long now = time.nanoTime();
-        Told known = told.get(pool);
+        ReportedLoad known = reportedLoads.get(pool);
         if (known == null || now - known.at() >= LOAD_AGE_NANOS) {
-            known = new Told(batches.load(pool), now);
-            told.put(pool, known);
+            known = new ReportedLoad(batches.load(pool), now);
+            reportedLoads.put(pool, known);
         }
         return known.load();
     }
 
-    /** Plays the load; returns the outcome by kind. */
+    /** Runs the replay; returns the scores by kind. */
     Map<String, Score> play() {
         for (Kind kind : kinds) {
             scores.put(kind.route().name(), new Score());
@@ -115,46 +118,46 @@
         return scores;
     }
 
-    /** Returns how much of results and inputs was read from other failure domains. */
-    long movedBytes() {
-        return movedBytes + stages.movedBytes();
+    /** Returns the bytes of results and inputs that were read from other failure domains. */
+    long crossDomainBytes() {
+        return crossDomainBytes + stages.crossDomainBytes();
     }
 
-    /** Returns how much of results and inputs was read, from wherever. */
+    /** Returns the bytes of results and inputs that were read from any failure domain. */
     long readBytes() {
         return readBytes + stages.readBytes();
     }
 
     @Override
     public void close() {
-        lone.close();
+        singleNode.close();
     }
 
     private void arriveLater(Kind kind) {
-        double rate = kind.perSecond() * load * burst(kind) / stretch / CLUMP;
+        double rate = kind.perSecond() * load * burst(kind) / stretch / MEAN_GROUP_SIZE;
         long gap = (long) (-Math.log(1 - random.nextDouble()) / rate * SECOND);
         time.schedule(gap, () -> {
             if (time.nanoTime() < 34 * SECOND * stretch) {
-                arriveTogether(kind);
+                arriveInGroup(kind);
                 arriveLater(kind);
             }
         });
     }
 
-    /** Callers come in groups of about three. */
-    private void arriveTogether(Kind kind) {
-        int together = 1 + random.nextInt(2 * CLUMP - 1);
-        for (int i = 0; i < together; i++) {
+    /** Callers arrive in groups of about three. */
+    private void arriveInGroup(Kind kind) {
+        int groupSize = 1 + random.nextInt(2 * MEAN_GROUP_SIZE - 1);
+        for (int i = 0; i < groupSize; i++) {
             time.schedule((long) (random.nextInt(100) * MILLI * stretch), () -> arrive(kind));
         }
     }
 
     private double burst(Kind kind) {
-        return asked.factor(kind.route().name(), time.nanoTime() / stretch / SECOND);
+        return spec.rateFactor(kind.route().name(), time.nanoTime() / stretch / SECOND);
     }
 
     private void arrive(Kind kind) {
-        scores.get(kind.route().name()).asked++;
+        scores.get(kind.route().name()).requests++;
         String id = "r" + ++lastId;
         List<Integer> pieces = kind.pieces().apply(random);
         new Attempt(kind, id, pieces, time.nanoTime(), false).start();
@@ -177,7 +180,7 @@
             String address = "10.0." + limits.size() + "." + i + ":1";
             directory.accept(
                     new UpstreamRecord(
-                            name + i, 0, name, address, "d" + i % asked.domains(), UpstreamPhase.READY, 1, 1, 0, 0),
+                            name + i, 0, name, address, "d" + i % spec.domains(), UpstreamPhase.READY, 1, 1, 0, 0),
                     0);
         }
     }
@@ -200,31 +203,31 @@
         return new Kind(route, each.perSecond(), each.pieces());
     }
 
-    /** What was told of a pool's load. */
-    private record Told(PoolLoad load, long at) {}
+    /** Load of a pool as last reported. */
+    private record ReportedLoad(PoolLoad load, long at) {}
 
-    /** A kind of requests. */
+    /** A request kind. */
     private record Kind(Route route, double perSecond, Function<RandomGenerator, List<Integer>> pieces) {}
 
-    /** What became of the requests of a kind. */
+    /** Outcomes of the requests of a kind. */
     static final class Score {
-        int asked;
+        int requests;
         int onTime;
         int late;
         int refused;
 
         double credit() {
-            return (onTime + 0.15 * late) / asked;
+            return (onTime + 0.15 * late) / requests;
         }
 
-        /** Returns how many have ended, in whichever way. */
+        /** Returns the number of requests that have ended, whatever the outcome. */
         int ended() {
             return onTime + late + refused;
         }
 
         @Override
         public String toString() {
-            return "asked " + asked + " on time " + onTime + " late " + late + " refused " + refused;
+            return "requests " + requests + " on time " + onTime + " late " + late + " refused " + refused;
         }
     }
 
@@ -233,23 +236,23 @@
         private final Kind kind;
         private final String id;
         private final List<Integer> pieces;
-        private final long askedAt;
-        private final boolean returned;
-        private final String domain = "d" + random.nextInt(asked.domains());
+        private final long firstRequestedAt;
+        private final boolean retried;
+        private final String domain = "d" + random.nextInt(spec.domains());
         private final AdmittedRequest admitted;
-        private boolean held;
-        private long begunAt;
-        private long reckoned;
+        private boolean deferred;
+        private long stagesStartedAt;
+        private long estimatedStagesNanos;
         private StageRun run;
 
-        private Attempt(Kind kind, String id, List<Integer> pieces, long askedAt, boolean returned) {
+        private Attempt(Kind kind, String id, List<Integer> pieces, long firstRequestedAt, boolean retried) {
             this.kind = kind;
             this.id = id;
             this.pieces = pieces;
-            this.askedAt = askedAt;
-            this.returned = returned;
+            this.firstRequestedAt = firstRequestedAt;
+            this.retried = retried;
             long now = time.nanoTime();
-            long waited = (now - askedAt) / MILLI;
+            long waited = (now - firstRequestedAt) / MILLI;
             OptionalLong left = OptionalLong.of(kind.route().timeout().toMillis() - waited);
             GatewayRequest request = TestRequests.request(id, left, List.of(), pieces);
             RequestTimes times = RequestTimes.of(kind.route(), left, waited, 0, now);
@@ -262,68 +265,75 @@
         }
 
         private void start() {
-            passGate();
+            admitToStages();
         }
 
         @Override
         public void onStagesDone() {
-            gate.ran(kind.route(), reckoned, time.nanoTime() - begunAt, time.nanoTime());
-            readBytes += run.inputs().total();
-            movedBytes += run.inputs().total() - run.inputs().bytesIn(domain, directory);
-            time.schedule(READ_NANOS, run::end);
+            admission.recordStages(
+                    kind.route(), estimatedStagesNanos, time.nanoTime() - stagesStartedAt, time.nanoTime());
+            readBytes += run.inputs().totalBytes();
+            crossDomainBytes += run.inputs().totalBytes() - run.inputs().bytesIn(domain, directory);
+            time.schedule(FETCH_NANOS, run::releaseAll);
             time.schedule((long) (ENGINE_NANOS * stretch), this::served);
         }
 
         @Override
         public void onMissed(int stage, MissReason reason) {
-            run.end();
+            run.releaseAll();
             end(false);
         }
 
-        private void passGate() {
+        private void admitToStages() {
             long now = time.nanoTime();
-            StageAdmissionDecision judgement = gate.judge(admitted, held, now);
-            if (judgement.verdict() == StageAdmissionVerdict.HOLD) {
-                hold(true);
-                time.schedule(LOOK_NANOS, this::passGate);
+            StageAdmissionDecision decision = admission.decide(admitted, deferred, now);
+            if (decision.verdict() == StageAdmissionVerdict.HOLD) {
+                setDeferred(true);
+                time.schedule(CHECK_NANOS, this::admitToStages);
                 return;
             }
-            hold(false);
-            if (judgement.verdict() == StageAdmissionVerdict.BEGIN) {
-                begunAt = now;
-                reckoned = judgement.reckonedNanos();
-                run = new StageRun(admitted, Optional.of(domain), firstEvents.nanos(kind.route()), batches, time, this);
+            setDeferred(false);
+            if (decision.verdict() == StageAdmissionVerdict.BEGIN) {
+                stagesStartedAt = now;
+                estimatedStagesNanos = decision.estimatedStagesNanos();
+                run = new StageRun(
+                        admitted,
+                        Optional.of(domain),
+                        firstEventLatencies.expectedNanos(kind.route()),
+                        batches,
+                        time,
+                        this);
                 run.start();
             } else {
-                end(!returned);
+                end(!retried);
             }
         }
 
-        private void hold(boolean holds) {
-            if (held != holds) {
-                held = holds;
-                gate.held(holds ? 1 : -1);
+        private void setDeferred(boolean defer) {
+            if (deferred != defer) {
+                deferred = defer;
+                admission.adjustDeferred(defer ? 1 : -1);
             }
         }
 
         private void served() {
-            firstEvents.seen(kind.route(), (long) (ENGINE_NANOS * stretch));
-            boolean onTime =
-                    time.nanoTime() - askedAt <= kind.route().objective().toNanos();
+            firstEventLatencies.observe(kind.route(), (long) (ENGINE_NANOS * stretch));
+            boolean onTime = time.nanoTime() - firstRequestedAt
+                    <= kind.route().objective().toNanos();
             Score score = scores.get(kind.route().name());
             score.onTime += onTime ? 1 : 0;
             score.late += onTime ? 0 : 1;
         }
 
-        private void end(boolean comesBack) {
-            if (!comesBack) {
+        private void end(boolean retries) {
+            if (!retries) {
                 scores.get(kind.route().name()).refused++;
                 return;
             }
-            long left = admitted.times().endAt() - time.nanoTime();
+            long left = admitted.times().deadlineAt() - time.nanoTime();
             time.schedule(
-                    returns.afterBurst(left).toNanos(),
-                    () -> new Attempt(kind, id + 'b', pieces, askedAt, true).start());
+                    retryAfterDelays.afterBurst(left).toNanos(),
+                    () -> new Attempt(kind, id + 'b', pieces, firstRequestedAt, true).start());
         }
     }
 }
--- a/library/src/test/java/org/copperspindle/gateway/StageRunTest.java
+++ b/library/src/test/java/org/copperspindle/gateway/StageRunTest.java
@@ -27,8 +27,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * The stages of one request on idle pools: two that only its upstream reads, one of them short and one long, beside a chain
- * of three.
+ * Stages of one request on idle pools: two that only its upstream reads, a short and a long one, next to a chain of
+ * three.
  */
 class StageRunTest {
 
@@ -38,10 +38,10 @@
     private final VirtualTimerService time = new VirtualTimerService();
     private final UpstreamDirectory directory = new UpstreamDirectory();
     private final Map<String, BatchLimits> limits = new HashMap<>();
-    private final Map<String, Long> begun = new HashMap<>();
+    private final Map<String, Long> firstCallAt = new HashMap<>();
     private final List<String> ends = new ArrayList<>();
     private final SimulatedStages stages = new SimulatedStages(time, limits, Map.of());
-    private final LoneBatches batches;
+    private final SingleNodeBatches batches;
 
     StageRunTest() {
         for (String pool : POOLS) {
@@ -51,7 +51,7 @@
                             pool, 0, pool, "10.0.0." + limits.size() + ":1", "d", UpstreamPhase.READY, 1, 1, 0, 0),
                     0);
         }
-        batches = new LoneBatches(time, directory, stages, limits);
+        batches = new SingleNodeBatches(time, directory, stages, limits);
     }
 
     @AfterEach
@@ -60,26 +60,26 @@
     }
 
     /**
-     * A chain of three calls of 100 ms takes 300 ms and more. A stage of 400 ms beside it begins at once. One of 100 ms begins
-     * later, so that its result does not fill its maker's memory all the while, and soon enough not to hold the request up,
-     * whichever of the two is looked at first. The request hears once that its stages are done.
+     * A chain of three calls of 100 ms takes at least 300 ms. A stage of 400 ms next to it starts immediately. One of
+     * 100 ms starts later, so that its result does not occupy the memory of its producer in the meantime, but early
+     * enough not to delay the request, whichever of the two is checked first. The end of the stages is reported once.
      */
     @Test
-    void stageBesideALongerChainBeginsLateButInTime() {
-        StageRun run = new StageRun(request(), Optional.empty(), 0, batches.service(), time, new Ends());
+    void stageNextToALongerChainStartsLateButInTime() {
+        StageRun run = new StageRun(request(), Optional.empty(), 0, batches.service(), time, new EndRecorder());
         run.start();
         for (int millis = 0; millis < 1000; millis++) {
             time.advance(MILLI);
             for (String pool : POOLS) {
                 if (stages.calls(pool) > 0) {
-                    begun.putIfAbsent(pool, (long) millis);
+                    firstCallAt.putIfAbsent(pool, (long) millis);
                 }
             }
         }
-        assertThat(begun.get("long")).isLessThan(5);
-        assertThat(begun.get("short")).isBetween(100L, 350L);
+        assertThat(firstCallAt.get("long")).isLessThan(5);
+        assertThat(firstCallAt.get("short")).isBetween(100L, 350L);
         assertThat(ends).containsExactly("done");
-        run.end();
+        run.releaseAll();
     }
 
     private static BatchLimits call(long millis) {
@@ -108,8 +108,8 @@
         return new AdmittedRequest(request, table, route, Optional.empty(), "p", times);
     }
 
-    /** Hears how the stages end. */
-    private final class Ends implements StageRun.Listener {
+    /** Records how the stages end. */
+    private final class EndRecorder implements StageRun.Listener {
         @Override
         public void onStagesDone() {
             ends.add("done");
--- a/library/src/test/java/org/copperspindle/gateway/TestRequests.java
+++ b/library/src/test/java/org/copperspindle/gateway/TestRequests.java
@@ -5,13 +5,13 @@
 import java.util.OptionalLong;
 
 /**
- * Callers' requests for tests.
+ * Creates requests for tests.
  */
 final class TestRequests {
 
     private TestRequests() {}
 
-    // Makes a request by its stages and its prompt.
+    // Creates a request from its stages and its prompt.
     static GatewayRequest request(
             String id, OptionalLong deadlineMillis, List<PromptPart> prompt, List<Integer> pieces) {
         return new GatewayRequest(
--- a/library/src/test/java/org/copperspindle/gateway/UpstreamChooserTest.java
+++ b/library/src/test/java/org/copperspindle/gateway/UpstreamChooserTest.java
@@ -42,32 +42,32 @@
     private final UpstreamTracker tracker = new UpstreamTracker();
     private final SenderSetAdmission cold = new SenderSetAdmission("n0", List::of, () -> false);
     private final UpstreamLimits limits = new UpstreamLimits(directory, new DecisionLog(0, 0));
-    private final UpstreamBackoffs rests = new UpstreamBackoffs(directory, new DecisionLog(0, 0));
-    private final SendPermits permits = LonePermits.of(limits, time);
+    private final UpstreamBackoffs backoffs = new UpstreamBackoffs(directory, new DecisionLog(0, 0));
+    private final SendPermits permits = SingleNodePermits.of(limits, time);
     private final UpstreamChooser chooser =
-            new UpstreamChooser(directory, tracker, cold, permits, rests, new Random(3), "d0");
+            new UpstreamChooser(directory, tracker, cold, permits, backoffs, new Random(3), "d0");
 
     UpstreamChooserTest() {
-        // Nine engines in three failure domains, and the maker of stage results in the second.
+        // Nine engines in three failure domains, and the producer of stage results in the second.
         IntStream.range(0, 9).forEach(i -> announce("e" + i, "p", "10.0.0." + i + ":1", "d" + i % 3));
-        announce("maker", "s", "10.0.1.1:1", "d1");
+        announce("producer", "s", "10.0.1.1:1", "d1");
     }
 
-    /** Requests with one shared part go to the engine that has read it. */
+    /** Requests with the same shared prompt part go to the engine that has read it. */
     @Test
-    void sharedPartDecidesWithoutLargeInputs() {
+    void sharedPartDeterminesEngineWithoutLargeInputs() {
         Set<String> chosen = new HashSet<>();
         IntStream.range(0, 20).forEach(i -> chosen.add(choose("part", 500, 0).id()));
         assertThat(chosen).hasSize(1);
     }
 
     /**
-     * Results of 0.8 MB each lie in one failure domain. Fetched from another, they cost more than reading a short shared
-     * part there once more, and less than reading a long one.
+     * Results of 0.8 MB each are in one failure domain. Fetching them from another one costs more than reading a
+     * short shared prompt part there again, and less than reading a long one.
      */
     @ParameterizedTest
     @CsvSource({"500, 3, true", "100, 1, true", "500, 1, false", "5400, 3, false"})
-    void largeInputsDecideAgainstAShortSharedPart(int sharedTokens, int results, boolean near) {
+    void largeInputsOutweighAShortSharedPart(int sharedTokens, int results, boolean near) {
         Map<String, Integer> domains = new HashMap<>();
         IntStream.range(0, 30)
                 .forEach(i ->
@@ -77,11 +77,11 @@
     }
 
     /**
-     * The engine that has read a shared part is cold and bears two requests a second. Callers of a popular prompt would all go
-     * there, and it would end; the rest of them finds another engine.
+     * The engine that has read a shared prompt part is cold and accepts two requests a second. If all callers of a
+     * popular prompt went there, it would crash; the other requests go to another engine.
      */
     @Test
-    void coldEngineGetsNoMoreThanItBears() {
+    void coldEngineGetsNoMoreThanItAccepts() {
         String home = choose("part", 500, 0).id();
         announceCold(home, 3000);
         Map<String, Integer> chosen = new HashMap<>();
@@ -93,7 +93,10 @@
         assertThat(chosen).containsEntry(home, 1).hasSize(2);
     }
 
-    /** All engines are cold and have got what they bear: the request waits a little instead of being refused. */
+    /**
+     * All engines are cold and have received as much as they accept: the request waits a little instead of being
+     * refused.
+     */
     @Test
     void poolOfColdEnginesIsWarming() {
         assertThat(chooser.isWarming(COLD_ENGINES, Set.of(), 0)).isFalse();
@@ -106,37 +109,40 @@
         assertThat(chooser.isWarming(COLD_ENGINES, Set.of(), 4_000_000_000L)).isFalse();
     }
 
-    /** Guards against requests that queue for an engine in need while others take whatever comes. */
+    /** Guards against requests that queue for an engine with a used-up limit while others could take them. */
     @Test
-    void engineWithoutRoomInItsLimitIsPassedOver() {
+    void engineWithUsedUpLimitIsSkipped() {
         String home = choose("part", 500, 0).id();
         limits.onResponse(home, new LimitSignal.Named(1), 0, 1);
         assertThat(choose("part", 500, 0).id()).isEqualTo(home);
         permits.requestPermit(home, 0, result -> assertThat(result).isInstanceOf(PermitResult.Denied.class));
         assertThat(choose("part", 500, 0).id()).isNotEqualTo(home);
-        assertThat(chooser.soonestLimited(COLD_ENGINES, Set.of(), 0))
+        assertThat(chooser.earliestLimited(COLD_ENGINES, Set.of(), 0))
                 .map(UpstreamRecord::id)
                 .contains(home);
     }
 
-    /** Guards against requests, late ones too, that are refused for a need that nobody has, and against stages for nobody. */
+    /**
+     * Guards against refusals, also of late requests, for a backpressure that does not exist, and against stages run
+     * in vain.
+     */
     @Test
-    void needOfAllEnginesIsKnownBeforeTheStages() {
-        assertThat(chooser.soonestBeyond(COLD_ENGINES, Set.of(), -1, 0)).isEmpty();
+    void backpressureOfAllEnginesIsKnownBeforeTheStages() {
+        assertThat(chooser.earliestBeyond(COLD_ENGINES, Set.of(), -1, 0)).isEmpty();
         for (int i = 0; i < 9; i++) {
-            rests.onResponse("e" + i, new BackoffSignal.Asked(Duration.ofSeconds(3 + i)), false, 0);
+            backoffs.onResponse("e" + i, new BackoffSignal.Asked(Duration.ofSeconds(3 + i)), false, 0);
         }
-        assertThat(chooser.soonestBeyond(COLD_ENGINES, Set.of(), 2_000_000_000L, 0))
+        assertThat(chooser.earliestBeyond(COLD_ENGINES, Set.of(), 2_000_000_000L, 0))
                 .hasValue(3_000_000_000L);
-        assertThat(chooser.soonestBeyond(COLD_ENGINES, Set.of(), 4_000_000_000L, 0))
+        assertThat(chooser.earliestBeyond(COLD_ENGINES, Set.of(), 4_000_000_000L, 0))
                 .isEmpty();
-        assertThat(chooser.soonestBeyond(COLD_ENGINES, Set.of(), -1, 3_000_000_000L))
+        assertThat(chooser.earliestBeyond(COLD_ENGINES, Set.of(), -1, 3_000_000_000L))
                 .isEmpty();
     }
 
-    /** Results lie in a failure domain that is evacuated: they are no reason to go there. */
+    /** Results are in a failure domain that is evacuated: they must not attract requests to it. */
     @Test
-    void largeInputsDrawNobodyIntoAnEvacuatedDomain() {
+    void largeInputsAttractNoRequestsToAnEvacuatedDomain() {
         directory.evacuate(Set.of("d1"), 0);
         Set<String> domains = new HashSet<>();
         IntStream.range(0, 30)
--- a/library/src/test/java/org/copperspindle/gateway/UpstreamTrackerTest.java
+++ b/library/src/test/java/org/copperspindle/gateway/UpstreamTrackerTest.java
@@ -12,10 +12,10 @@
 
     private final UpstreamTracker tracker = new UpstreamTracker();
 
-    /** A lost packet fails one call; an upstream that crashed fails all. Only the second is left alone. */
+    /** A lost packet fails one call; a crashed upstream fails all calls. Only the second is paused. */
     @ParameterizedTest
     @CsvSource({"1, 0, true", "2, 0, false", "2, 499, false", "2, 500, true", "3, 999, false", "3, 1000, true"})
-    void upstreamIsLeftAloneAfterFailuresInARow(int failures, long laterMillis, boolean usable) {
+    void upstreamIsPausedAfterConsecutiveFailures(int failures, long laterMillis, boolean usable) {
         for (int i = 0; i < failures; i++) {
             tracker.started("u");
             tracker.failed("u", 0, "connection-reset");
@@ -23,9 +23,9 @@
         assertThat(tracker.isUsable("u", laterMillis * MILLI)).isEqualTo(usable);
     }
 
-    /** After a pause one call tries; the others must not follow it before it is known how it went. */
+    /** After a pause one call tests the upstream; others must not follow before its result is known. */
     @Test
-    void oneCallTriesAfterAPause() {
+    void oneCallTestsTheUpstreamAfterAPause() {
         fail(2);
         assertThat(tracker.isUsable("u", 600 * MILLI)).isTrue();
         tracker.started("u");
@@ -33,11 +33,13 @@
         tracker.ended("u", true);
         assertThat(tracker.isUsable("u", 600 * MILLI)).isTrue();
         fail(1);
-        assertThat(tracker.isUsable("u", 600 * MILLI)).as("counted anew").isTrue();
+        assertThat(tracker.isUsable("u", 600 * MILLI))
+                .as("failures are counted from zero again")
+                .isTrue();
     }
 
     @Test
-    void endOfThisSideOwnMakingProvesNothing() {
+    void abortByThisNodeProvesNothing() {
         fail(1);
         tracker.started("u");
         tracker.ended("u", false);
@@ -47,12 +49,12 @@
     }
 
     /**
-     * An upstream crashes, its calls fail, and it is left alone. It starts again under its id at once. Callers must not be
-     * refused for the rest of a pause that was meant for its former life.
+     * An upstream crashes, its calls fail, and it is paused. It restarts immediately under the same id. Callers must
+     * not be refused for the rest of a pause that applied to its previous incarnation.
      */
     @ParameterizedTest
     @CsvSource({"7, false", "8, true"})
-    void newLifeIsNotLeftAloneForFailuresOfTheFormer(long incarnation, boolean usable) {
+    void newIncarnationIsNotPausedForFailuresOfThePreviousOne(long incarnation, boolean usable) {
         tracker.updateIncarnation("u", 7);
         fail(2);
         tracker.updateIncarnation("u", incarnation);
--- a/library/src/test/java/org/copperspindle/gateway/UrgentRoomTest.java
+++ b/library/src/test/java/org/copperspindle/gateway/UrgentRequestKindsTest.java
@@ -24,80 +24,90 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Descriptions are more urgent than tags, and have an objective of 1 s where tags have 3 s. Calls of both pools take 240 ms
- * and 5 ms a piece, full ones 440 ms.
+ * Descriptions are more urgent than tags; their objective is 1 s, that of tags is 3 s. Calls of both pools take 240
+ * ms plus 5 ms per piece, full calls 440 ms.
  */
-class UrgentRoomTest {
+class UrgentRequestKindsTest {
 
     private static final long MILLI = 1_000_000L;
 
     private final Map<String, Long> waitMillis = new HashMap<>();
-    private final StageAdmission gate = new StageAdmission(
+    private final StageAdmission admission = new StageAdmission(
             pool -> new PoolLoad(waitMillis.getOrDefault(pool, 0L) * MILLI, 400, 0), new FirstEventLatencies());
 
     /**
-     * Callers of descriptions were refused while tags were let in. At a wait of 440 ms the next description has 20 ms to spare,
-     * less than a tenth of a call: it begins, and tags must leave it the room, though they have 2 s to spare.
+     * Guards against descriptions that are refused while tags are admitted. At a wait of 440 ms the next description
+     * has 20 ms to spare, less than a tenth of a call: it starts, and tags must leave it the capacity, though they
+     * have 2 s to spare.
      */
     @ParameterizedTest
     @CsvSource({"100, BEGIN, BEGIN", "400, BEGIN, BEGIN", "440, HOLD, BEGIN", "600, HOLD, HOLD"})
-    void lessUrgentKindLeavesRoomInASharedPool(
+    void lessUrgentKindLeavesCapacityInASharedPool(
             long wait, StageAdmissionVerdict tag, StageAdmissionVerdict description) {
         waitMillis.put("shared", wait);
-        gate.judge(request("description", 1, 1000, 0, "shared"), false, 0);
-        assertThat(gate.judge(request("tag", 2, 3000, 0, "shared"), false, 0).verdict())
+        admission.decide(request("description", 1, 1000, 0, "shared"), false, 0);
+        assertThat(admission
+                        .decide(request("tag", 2, 3000, 0, "shared"), false, 0)
+                        .verdict())
                 .isEqualTo(tag);
-        assertThat(gate.judge(request("description", 1, 1000, 0, "shared"), false, 0)
+        assertThat(admission
+                        .decide(request("description", 1, 1000, 0, "shared"), false, 0)
                         .verdict())
                 .isEqualTo(description);
     }
 
-    /** Refused, the less urgent kind would leave room that nobody can use: descriptions wait for another pool. */
+    /** Descriptions wait for another pool: if tags were not admitted, capacity would stay unused. */
     @Test
-    void roomInAPoolThatTheUrgentKindDoesNotWaitForIsUsed() {
+    void capacityOfPoolsThatTheUrgentKindDoesNotWaitForIsUsed() {
         waitMillis.put("own", 900L);
         waitMillis.put("shared", 100L);
-        gate.judge(request("description", 1, 1000, 0, "shared", "own"), false, 0);
-        assertThat(gate.judge(request("tag", 2, 3000, 0, "shared"), false, 0).verdict())
+        admission.decide(request("description", 1, 1000, 0, "shared", "own"), false, 0);
+        assertThat(admission
+                        .decide(request("tag", 2, 3000, 0, "shared"), false, 0)
+                        .verdict())
                 .isEqualTo(StageAdmissionVerdict.BEGIN);
     }
 
-    /** Descriptions could not be in time if nothing waited: room that is kept for them would serve nobody. */
+    /** Descriptions could not be in time even without queueing: capacity kept for them would serve no request. */
     @Test
-    void noRoomIsKeptForAKindThatIsLateAnyway() {
+    void noCapacityIsKeptForAKindThatIsLateAnyway() {
         waitMillis.put("shared", 600L);
-        gate.judge(request("description", 1, 300, 0, "shared"), false, 0);
-        assertThat(gate.judge(request("tag", 2, 3000, 0, "shared"), false, 0).verdict())
+        admission.decide(request("description", 1, 300, 0, "shared"), false, 0);
+        assertThat(admission
+                        .decide(request("tag", 2, 3000, 0, "shared"), false, 0)
+                        .verdict())
                 .isEqualTo(StageAdmissionVerdict.BEGIN);
     }
 
     /**
-     * A preferred account sends a tag now and then. Were room kept for its next one, all descriptions would wait for it: on a
-     * calm day 62 of 648 were refused so.
+     * A preferred account sends a tag now and then. If capacity were kept for its next one, all descriptions would
+     * wait for it: on a day without bursts 62 of 648 were refused that way.
      */
     @Test
-    void preferredAccountKeepsNoRoomFree() {
+    void preferredAccountKeepsNoCapacityFree() {
         waitMillis.put("shared", 600L);
         AdmittedRequest usual = request("tag", 2, 1000, 0, "shared");
         ClientAccount preferred = new ClientAccount("preferred", List.of("k"), OptionalInt.of(0));
-        gate.judge(
+        admission.decide(
                 new AdmittedRequest(
                         usual.request(), usual.table(), usual.route(), Optional.of(preferred), "p", usual.times()),
                 false,
                 0);
-        assertThat(gate.judge(request("description", 1, 3000, 0, "shared"), false, 0)
+        assertThat(admission
+                        .decide(request("description", 1, 3000, 0, "shared"), false, 0)
                         .verdict())
                 .isEqualTo(StageAdmissionVerdict.BEGIN);
     }
 
-    /** Nobody has asked for the urgent kind for a while: no room is kept for it. */
+    /** The urgent kind has not been requested for a while: no capacity is kept for it. */
     @ParameterizedTest
     @CsvSource({"5000, HOLD", "5001, BEGIN"})
-    void roomIsKeptForWhatIsAskedFor(long laterMillis, StageAdmissionVerdict verdict) {
+    void capacityIsKeptForRecentKindsOnly(long laterMillis, StageAdmissionVerdict verdict) {
         waitMillis.put("shared", 600L);
-        gate.judge(request("description", 1, 1000, 0, "shared"), false, 0);
+        admission.decide(request("description", 1, 1000, 0, "shared"), false, 0);
         long now = laterMillis * MILLI;
-        assertThat(gate.judge(request("tag", 2, 3000, now, "shared"), false, now)
+        assertThat(admission
+                        .decide(request("tag", 2, 3000, now, "shared"), false, now)
                         .verdict())
                 .isEqualTo(verdict);
     }
