--- a/library/src/main/java/org/copperspindle/gateway/AdmittedRequest.java
+++ b/library/src/main/java/org/copperspindle/gateway/AdmittedRequest.java
@@ -18,7 +18,7 @@
  * @param table   route table under which it was admitted; it is served under this table to its end
  * @param route   its route
  * @param account client account that owns the key of the request
- * @param pool    engine pool that serves it
+ * @param pool    pool that serves it
  * @param times   its start, objective and deadlines
  */
 record AdmittedRequest(
--- a/library/src/test/java/org/copperspindle/gateway/UpstreamChooserTest.java
+++ b/library/src/test/java/org/copperspindle/gateway/UpstreamChooserTest.java
@@ -123,7 +123,7 @@
     }
 
     /**
-     * Guards against refusals, also of late requests, for a backpressure that does not exist, and against stages run
+     * Guards against refusals, also of late requests, when no engine signals backpressure, and against stages run
      * in vain.
      */
     @Test
