--- a/library/src/main/java/org/copperspindle/batch/BatchService.java
+++ b/library/src/main/java/org/copperspindle/batch/BatchService.java
@@ -27,39 +27,48 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * Takes groups of pieces to the node that packs the calls of their pool, and packs those of the pools that fall to this
- * node. All nodes choose by rendezvous among the nodes that serve, so that they agree without asking. When that node is
- * lost, the groups that wait at it go to the next one; pieces that it had begun are made again, which they may be.
+ * Sends groups of pieces to the dispatcher of their pool, the node that batches the calls of the pool, and runs the
+ * dispatchers of the pools that this node is responsible for. All nodes choose the dispatcher by rendezvous hashing
+ * among the serving nodes, so that they agree without communicating. When a dispatcher is lost, the groups that wait
+ * there are sent to the next one; pieces that it had already started are run again, which is allowed because they are
+ * repeatable.
  */
 public final class BatchService implements MeshListener {
 
     private static final Logger LOGGER = LogManager.getLogger(BatchService.class);
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    /** Loads are told this often: three times in the shortest call. */
+    /** Interval between load updates: three updates within the shortest call. */
     static final long LOAD_INTERVAL_NANOS = Duration.ofMillis(80).toNanos();
 
-    /** A load that was not told again for so long has ended, or its node has. */
-    private static final long LOAD_AGE_NANOS = Duration.ofMillis(600).toNanos();
+    /** Age after which a load is ignored: the load is over, or the node that reported it is gone. */
+    private static final long MAX_LOAD_AGE_NANOS = Duration.ofMillis(600).toNanos();
 
     /**
-     * After which results of a lost node are given up. A node that is only cut off from this one goes on with its requests
-     * and reads what it has got within about a call and a half.
+     * Delay before the results made for a lost node are released. A node that is merely partitioned from this one
+     * goes on with its requests and reads its results within about one and a half calls.
      */
-    private static final long ORPHAN_NANOS = Duration.ofMillis(600).toNanos();
+    private static final long ORPHAN_RELEASE_DELAY_NANOS =
+            Duration.ofMillis(600).toNanos();
 
-    /** A cut lasts for some seconds; a node that is lost for longer does not come back as it was. */
-    private static final long DISTANT_NANOS = Duration.ofSeconds(20).toNanos();
+    /**
+     * How long a lost node is remembered: a network partition lasts for some seconds, and a node that is lost for
+     * longer does not return with the same state.
+     */
+    private static final long LOST_NODE_RETENTION_NANOS = Duration.ofSeconds(20).toNanos();
 
-    /** A wait below this is told less often: half of a pool's upstreams busy is no load. */
-    private static final long QUIET_MILLIS = 60;
+    /** Shorter waits are sent in full updates only: a pool with half of its upstreams busy is not loaded. */
+    private static final long SHORT_WAIT_MILLIS = 60;
 
-    /** Every so many intervals loads of quiet pools are told as well, and promises that have not changed. */
-    private static final int FULL_ROUNDS = 5;
+    /**
+     * Every so many intervals a full update also has the loads of pools with short waits and the expected pieces that
+     * have not changed.
+     */
+    private static final int ROUNDS_PER_FULL_UPDATE = 5;
 
     private final NodeMesh mesh;
     private final MeshRelay relay;
-    private final Map<String, Distant> distant = new HashMap<>();
+    private final Map<String, LostNode> lostNodes = new HashMap<>();
     private final TimerService timers;
     private final UpstreamDirectory directory;
     private final StagePort port;
@@ -68,31 +77,32 @@
     private final DecisionLog log;
     private final Map<String, PoolDispatcher> dispatchers = new HashMap<>();
     private final Map<String, Load> loads = new HashMap<>();
-    private final ExpectedPieces promises = new ExpectedPieces();
-    private final PauseDetector standstills = new PauseDetector();
+    private final ExpectedPieces expectedPieces = new ExpectedPieces();
+    private final PauseDetector pauseDetector = new PauseDetector();
     private final Map<Long, Pending> pending = new LinkedHashMap<>();
 
     /**
-     * Groups are numbered from a random start. A node that is back at once would else number its first groups like those of
-     * its life before, and results of a call that still runs for the old one would be taken for the new one's.
+     * Group ids count up from a random start. Otherwise a node that restarts at once would reuse the ids of its
+     * previous incarnation, and results of a call that still runs for the old incarnation would be accepted for the
+     * new one.
      */
     private long lastId = ThreadLocalRandom.current().nextLong(Long.MAX_VALUE / 2);
 
     private final PoolDispatcher.ResultSink sink = new Sink();
     private int round;
-    private long droppedAt;
+    private long handledPauseAt;
     private CallAdmission admission = CallAdmission.ALL;
 
     /**
-     * Creates the service; to be subscribed to the mesh.
+     * Creates the service. The caller subscribes it to the mesh.
      *
-     * @param relay     the nodes, also those that are reached through others
-     * @param timers    time on the network thread
+     * @param relay     sends to other nodes, also through a third node
+     * @param timers    timers of the network thread
      * @param directory the upstreams
-     * @param port      speaks to the upstreams of stage pools
-     * @param limits    limits of a pool's calls by its name, as the route table held gives them
-     * @param status    this node's own part in packing
-     * @param log       bounds log lines
+     * @param port      sends calls to the upstreams of stage pools
+     * @param limits    returns the limits of a pool's calls by its name, from the current route table
+     * @param status    whether and how well this node can serve as dispatcher
+     * @param log       limits the rate of log lines
      */
     public BatchService(
             MeshRelay relay,
@@ -114,28 +124,28 @@
     }
 
     /**
-     * Sets what bounds calls; before {@link #start}.
+     * Sets the admission of calls to upstreams. To be called before {@link #start}.
      *
-     * @param bound asked before each call
+     * @param bound the admission, checked before each call
      */
     public void limitCallsWith(CallAdmission bound) {
         admission = bound;
     }
 
     /**
-     * Returns a number for the next group.
+     * Returns an id for the next group.
      *
-     * @return never used before in this life of the process
+     * @return an id that this process has not used before
      */
     public long nextId() {
         return ++lastId;
     }
 
     /**
-     * Has the pieces of a group made.
+     * Submits a group of pieces.
      *
-     * @param group    the group, numbered by {@link #nextId}
-     * @param listener told of every piece, later on this thread
+     * @param group    the group, with an id from {@link #nextId}
+     * @param listener receives the outcome of every piece, later on this thread
      */
     public void submit(PieceGroup group, PieceListener listener) {
         Pending entry = new Pending(group, listener, timers.nanoTime());
@@ -144,9 +154,9 @@
     }
 
     /**
-     * Drops a group that nobody waits for any more.
+     * Cancels a group whose results are no longer needed.
      *
-     * @param id its number
+     * @param id its id
      */
     public void cancel(long id) {
         Pending entry = pending.remove(id);
@@ -161,9 +171,9 @@
     }
 
     /**
-     * Gives results up.
+     * Releases results, so that their producers can free the memory.
      *
-     * @param pool    pool that made them
+     * @param pool    pool that produced them
      * @param handles their handles
      */
     public void free(String pool, List<String> handles) {
@@ -179,52 +189,55 @@
     }
 
     /**
-     * Notes that a request has begun which will send pieces to a pool later, or, below zero, that it has sent them or
-     * never will.
+     * Adds pieces that a request in progress will send to a pool later; a negative count removes pieces that it has
+     * sent or will never send.
      *
      * @param pool   name of the pool
-     * @param pieces how many
+     * @param pieces number of pieces, negative to remove
      */
     public void addExpectedPieces(String pool, int pieces) {
-        promises.add(pool, pieces);
+        expectedPieces.add(pool, pieces);
     }
 
-    /** Begins to tell the other nodes how long pieces wait here, and what requests of this node will send. */
+    /**
+     * Starts to send the other nodes the wait times of the pools here and the pieces that requests of this node will
+     * send.
+     */
     public void start() {
-        boolean full = ++round % FULL_ROUNDS == 0;
-        lookForStandstill();
-        if (!distant.isEmpty()) {
+        boolean full = ++round % ROUNDS_PER_FULL_UPDATE == 0;
+        checkForPause();
+        if (!lostNodes.isEmpty()) {
             moveOrphans();
         }
-        promises.tell(full).forEach(this::tellPromise);
-        dispatchers.forEach((pool, dispatcher) -> tellLoad(pool, dispatcher, full));
+        expectedPieces.takeUpdates(full).forEach(this::sendExpectedPieces);
+        dispatchers.forEach((pool, dispatcher) -> broadcastLoad(pool, dispatcher, full));
         timers.schedule(LOAD_INTERVAL_NANOS, this::start);
     }
 
     /**
-     * Returns how loaded a pool is.
+     * Returns the load of a pool.
      *
      * @param pool name of the pool
-     * @return its load; {@link PoolLoad#UNKNOWN} if nothing is known or what is known is old
+     * @return its load; {@link PoolLoad#UNKNOWN} if none is known or the known one is too old
      */
     public PoolLoad load(String pool) {
         long now = timers.nanoTime();
         PoolDispatcher own = dispatchers.get(pool);
         if (own != null && dispatcherNode(pool).equals(mesh.self())) {
-            return own.load().withPromised(promises.total(pool, now) + promises.untold(pool));
+            return own.load().withExpectedPieces(expectedPieces.total(pool, now) + expectedPieces.unsent(pool));
         }
         Load load = loads.get(pool);
-        boolean known = load != null && now - load.at() < LOAD_AGE_NANOS;
+        boolean known = load != null && now - load.receivedAt() < MAX_LOAD_AGE_NANOS;
         return known
-                ? load.load().withPromised(load.load().expectedPieces() + promises.untold(pool))
+                ? load.load().withExpectedPieces(load.load().expectedPieces() + expectedPieces.unsent(pool))
                 : PoolLoad.UNKNOWN;
     }
 
     /**
-     * Returns what the upstreams of a pool did in calls that this node packed.
+     * Returns the work that the upstreams of a pool did in calls of this node's dispatcher.
      *
      * @param pool name of the pool
-     * @return the work since the start
+     * @return the work since this node started
      */
     public PoolWork work(String pool) {
         PoolDispatcher own = dispatchers.get(pool);
@@ -232,9 +245,9 @@
     }
 
     /**
-     * Returns how many pieces wait at this node for an upstream.
+     * Returns the number of pieces that wait at this node for an upstream.
      *
-     * @return a count over all pools
+     * @return the number over all pools
      */
     public int waitingPieces() {
         return dispatchers.values().stream()
@@ -243,9 +256,9 @@
     }
 
     /**
-     * Returns how many groups of this node's requests are under way.
+     * Returns the number of groups of this node's requests that are in progress.
      *
-     * @return a count
+     * @return the number of groups
      */
     public int openGroups() {
         return pending.size();
@@ -253,12 +266,12 @@
 
     @Override
     public void onNodeUp(MeshNode node) {
-        distant.remove(node.address());
+        lostNodes.remove(node.address());
     }
 
     @Override
     public void onMessage(MeshNode node, WireMessage message) {
-        lookForStandstill();
+        checkForPause();
         if (message instanceof PieceGroup group) {
             dispatcher(group.pool()).add(node.address(), group);
         } else if (message instanceof PieceCancelMessage cancel) {
@@ -266,49 +279,51 @@
         } else if (message instanceof FreeResultsMessage free) {
             dispatcher(free.pool()).free(free.handles());
         } else if (message instanceof PieceResultsMessage results) {
-            received(node.address(), results);
+            onResults(node.address(), results);
         } else if (message instanceof PoolLoadMessage load) {
-            PoolLoad heard = new PoolLoad(load.waitMillis() * NANOS_PER_MILLI, load.perSecond(), load.expectedPieces());
-            loads.put(load.pool(), new Load(heard, timers.nanoTime()));
-        } else if (message instanceof ExpectedPiecesMessage promise) {
-            promises.heard(node.address(), promise.pool(), promise.pieces(), timers.nanoTime());
+            PoolLoad received =
+                    new PoolLoad(load.waitMillis() * NANOS_PER_MILLI, load.perSecond(), load.expectedPieces());
+            loads.put(load.pool(), new Load(received, timers.nanoTime()));
+        } else if (message instanceof ExpectedPiecesMessage expected) {
+            expectedPieces.onUpdate(node.address(), expected.pool(), expected.pieces(), timers.nanoTime());
         }
     }
 
     @Override
     public void onNodeDown(MeshNode node) {
         long now = timers.nanoTime();
-        promises.forget(node.address());
-        distant.put(node.address(), new Distant(node.hello(), now));
+        expectedPieces.forget(node.address());
+        lostNodes.put(node.address(), new LostNode(node.hello(), now));
         moveOrphans();
-        long life = node.incarnation();
-        timers.schedule(ORPHAN_NANOS, () -> giveUpOrphans(node.address(), life, now));
+        long incarnation = node.incarnation();
+        timers.schedule(ORPHAN_RELEASE_DELAY_NANOS, () -> releaseOrphans(node.address(), incarnation, now));
     }
 
     /**
-     * Drops the groups of other nodes after a standstill that was long enough for them to have found this node dead. They have them
-     * made elsewhere by now: packed here as well, each piece would be made twice, in the very moment in which work has piled up.
+     * Drops the groups of other nodes after a process pause that was long enough for them to consider this node dead.
+     * They have sent those groups to another dispatcher by then; dispatched here as well, each piece would run twice,
+     * just when a backlog has built up.
      */
-    private void lookForStandstill() {
-        standstills.look(timers.nanoTime());
-        boolean known = standstills.wokeAt() == droppedAt;
-        if (known || standstills.stoodNanos() < MeshSettings.LIMITS.silence().toNanos()) {
+    private void checkForPause() {
+        pauseDetector.check(timers.nanoTime());
+        boolean known = pauseDetector.pauseEndedAt() == handledPauseAt;
+        if (known || pauseDetector.pauseNanos() < MeshSettings.LIMITS.silence().toNanos()) {
             return;
         }
-        droppedAt = standstills.wokeAt();
+        handledPauseAt = pauseDetector.pauseEndedAt();
         int dropped = dispatchers.values().stream()
-                .mapToInt(dispatcher -> dispatcher.dropOthers(mesh.self()))
+                .mapToInt(dispatcher -> dispatcher.dropGroupsOfOthers(mesh.self()))
                 .sum();
         LOGGER.warn(
                 "event=standstill-noticed took_ms={} groups_dropped={}",
-                standstills.stoodNanos() / NANOS_PER_MILLI,
+                pauseDetector.pauseNanos() / NANOS_PER_MILLI,
                 dropped);
     }
 
-    /** Takes groups whose node is gone, for this one and for all that this one reaches, to another node. */
+    /** Sends groups to another dispatcher if theirs can be reached neither directly nor through other nodes. */
     private void moveOrphans() {
         long now = timers.nanoTime();
-        distant.values().removeIf(lost -> now - lost.since() > DISTANT_NANOS);
+        lostNodes.values().removeIf(lost -> now - lost.lostAt() > LOST_NODE_RETENTION_NANOS);
         List<Pending> orphans = pending.values().stream()
                 .filter(p -> !p.owner.equals(mesh.self()) && !relay.canReach(p.owner))
                 .toList();
@@ -318,46 +333,49 @@
         orphans.forEach(this::forward);
     }
 
-    /** Results of a node that is gone would fill their makers' memory until these forget them. */
-    private void giveUpOrphans(String node, long life, long downAt) {
+    /**
+     * Releases the results made for a node that is gone; they would fill the memory of their producers until they
+     * expire.
+     */
+    private void releaseOrphans(String node, long incarnation, long downAt) {
         Optional<MeshNode> back = mesh.find(node);
-        boolean lives = back.isPresent() ? back.get().incarnation() == life : relay.canReach(node);
-        if (lives) {
+        boolean sameIncarnation = back.isPresent() ? back.get().incarnation() == incarnation : relay.canReach(node);
+        if (sameIncarnation) {
             return;
         }
         for (PoolDispatcher dispatcher : dispatchers.values()) {
-            List<String> made = dispatcher.forget(node, downAt);
-            if (!made.isEmpty()) {
-                LOGGER.info("event=orphans node={} results={}", node, made.size());
-                dispatcher.free(made);
+            List<String> results = dispatcher.forget(node, downAt);
+            if (!results.isEmpty()) {
+                LOGGER.info("event=orphans node={} results={}", node, results.size());
+                dispatcher.free(results);
             }
         }
     }
 
-    private void tellPromise(String pool, long pieces) {
+    private void sendExpectedPieces(String pool, long pieces) {
         String owner = dispatcherNode(pool);
         if (owner.equals(mesh.self())) {
-            promises.heard(owner, pool, pieces, timers.nanoTime());
+            expectedPieces.onUpdate(owner, pool, pieces, timers.nanoTime());
         } else {
             relay.send(owner, new ExpectedPiecesMessage(pool, pieces));
         }
     }
 
-    private void tellLoad(String pool, PoolDispatcher dispatcher, boolean full) {
+    private void broadcastLoad(String pool, PoolDispatcher dispatcher, boolean full) {
         PoolLoad load = dispatcher.load();
         long millis = load.waitNanos() / NANOS_PER_MILLI;
-        if (!dispatcherNode(pool).equals(mesh.self()) || millis < QUIET_MILLIS && !full) {
+        if (!dispatcherNode(pool).equals(mesh.self()) || millis < SHORT_WAIT_MILLIS && !full) {
             return;
         }
-        long promised = promises.total(pool, timers.nanoTime());
-        PoolLoadMessage message = new PoolLoadMessage(pool, millis, (long) load.piecesPerSecond(), promised);
+        long expectedCount = expectedPieces.total(pool, timers.nanoTime());
+        PoolLoadMessage message = new PoolLoadMessage(pool, millis, (long) load.piecesPerSecond(), expectedCount);
         mesh.broadcast(message);
-        distant.keySet().stream().filter(relay::canReach).forEach(node -> relay.send(node, message));
+        lostNodes.keySet().stream().filter(relay::canReach).forEach(node -> relay.send(node, message));
     }
 
     private void forward(Pending entry) {
-        long elapsed = (timers.nanoTime() - entry.at) / NANOS_PER_MILLI;
-        PieceGroup group = entry.group.after(elapsed, entry.missing);
+        long elapsed = (timers.nanoTime() - entry.submittedAt) / NANOS_PER_MILLI;
+        PieceGroup group = entry.group.withElapsed(elapsed, entry.missing);
         entry.owner = dispatcherNode(group.pool());
         if (!entry.owner.equals(mesh.self())) {
             if (relay.send(entry.owner, group)) {
@@ -365,7 +383,7 @@
             }
             entry.owner = mesh.self();
         }
-        // Later, so that no caller hears of results while it is still submitting.
+        // Deferred, so that a caller does not receive results while it is still submitting.
         timers.schedule(0, () -> {
             if (pending.containsKey(group.id())) {
                 dispatcher(group.pool()).add(mesh.self(), group);
@@ -373,10 +391,10 @@
         });
     }
 
-    private void received(String from, PieceResultsMessage results) {
+    private void onResults(String from, PieceResultsMessage results) {
         Pending entry = pending.get(results.group());
         if (entry == null || !entry.owner.equals(from)) {
-            freeUnwanted(results);
+            releaseUnwanted(results);
             return;
         }
         List<PieceResult> wanted = new ArrayList<>();
@@ -393,56 +411,61 @@
         }
     }
 
-    /** Results that came after their request was given up, or from a node that is no longer asked, hold memory. */
-    private void freeUnwanted(PieceResultsMessage results) {
+    /**
+     * Releases results that arrive after their request was cancelled, or from a node that is no longer the group's
+     * dispatcher: they hold memory.
+     */
+    private void releaseUnwanted(PieceResultsMessage results) {
         List<String> handles = new ArrayList<>();
         for (PieceResult result : results.results()) {
             if (result.outcome() instanceof PieceOutcome.Made made) {
                 handles.add(made.handle());
             }
         }
-        sink.giveUp(handles);
+        sink.release(handles);
     }
 
     /**
-     * Chooses the node that packs the calls of a pool: among those that serve the fittest, by rendezvous. Nodes that only others
-     * reach count as well, so that all choose the same one.
+     * Chooses the dispatcher of a pool by rendezvous hashing among the serving nodes with the highest fitness. Nodes
+     * that can be reached only through others count as well, so that all nodes choose the same one.
      *
      * @param pool name of the pool
-     * @return name of the node
+     * @return name of the dispatcher node
      */
     public String dispatcherNode(String pool) {
         String best = mesh.self();
         int fitness = status.isServing() ? status.fitness() : Integer.MIN_VALUE;
-        long most = RendezvousScore.of(pool, best);
+        long score = RendezvousScore.of(pool, best);
         for (MeshNode node : mesh.nodes()) {
-            if (isBetter(pool, node.address(), node.hello(), fitness, most)) {
+            if (isBetter(pool, node.address(), node.hello(), fitness, score)) {
                 best = node.address();
                 fitness = node.hello().fitness();
-                most = RendezvousScore.of(pool, best);
+                score = RendezvousScore.of(pool, best);
             }
         }
-        for (Map.Entry<String, Distant> lost : distant.entrySet()) {
+        for (Map.Entry<String, LostNode> lost : lostNodes.entrySet()) {
             NodeHelloMessage hello = lost.getValue().hello();
-            if (isBetter(pool, lost.getKey(), hello, fitness, most) && relay.canReach(lost.getKey())) {
+            if (isBetter(pool, lost.getKey(), hello, fitness, score) && relay.canReach(lost.getKey())) {
                 best = lost.getKey();
                 fitness = hello.fitness();
-                most = RendezvousScore.of(pool, best);
+                score = RendezvousScore.of(pool, best);
             }
         }
         return best;
     }
 
-    private static boolean isBetter(String pool, String node, NodeHelloMessage hello, int fitness, long most) {
-        int fit = hello.fitness();
-        return hello.serving() && (fit > fitness || fit == fitness && RendezvousScore.of(pool, node) > most);
+    private static boolean isBetter(String pool, String node, NodeHelloMessage hello, int fitness, long score) {
+        int candidateFitness = hello.fitness();
+        return hello.serving()
+                && (candidateFitness > fitness
+                        || candidateFitness == fitness && RendezvousScore.of(pool, node) > score);
     }
 
     private PoolDispatcher dispatcher(String pool) {
         return dispatchers.computeIfAbsent(
                 pool,
                 name -> new PoolDispatcher(name, directory, timers, port, () -> limits.apply(name), sink, log)
-                        .judgingBy(standstills)
+                        .withPauseDetector(pauseDetector)
                         .limitCallsWith(admission));
     }
 
@@ -453,24 +476,24 @@
         }
     }
 
-    private record Load(PoolLoad load, long at) {}
+    private record Load(PoolLoad load, long receivedAt) {}
 
-    /** A node that was lost a short while ago, and what it said of itself last. */
-    private record Distant(NodeHelloMessage hello, long since) {}
+    /** A recently lost node and the last greeting received from it. */
+    private record LostNode(NodeHelloMessage hello, long lostAt) {}
 
-    /** What the dispatchers of this node hand on. */
+    /** Forwards the results of this node's dispatchers. */
     private final class Sink implements PoolDispatcher.ResultSink {
         @Override
         public void deliver(String origin, PieceResultsMessage results) {
             if (origin.equals(mesh.self())) {
-                received(origin, results);
+                onResults(origin, results);
             } else {
                 relay.send(origin, results);
             }
         }
 
         @Override
-        public void giveUp(List<String> handles) {
+        public void release(List<String> handles) {
             Map<String, List<String>> byPool = new HashMap<>();
             for (String handle : handles) {
                 ResultHandle.producerAddress(handle)
@@ -483,18 +506,18 @@
         }
     }
 
-    /** A group on its way. */
+    /** A submitted group that still lacks results. */
     private static final class Pending {
         private final PieceGroup group;
         private final PieceListener listener;
-        private final long at;
+        private final long submittedAt;
         private final List<Integer> missing;
         private String owner = "";
 
-        private Pending(PieceGroup group, PieceListener listener, long at) {
+        private Pending(PieceGroup group, PieceListener listener, long submittedAt) {
             this.group = group;
             this.listener = listener;
-            this.at = at;
+            this.submittedAt = submittedAt;
             this.missing = new ArrayList<>(group.missing());
         }
     }
--- a/library/src/main/java/org/copperspindle/batch/CallAdmission.java
+++ b/library/src/main/java/org/copperspindle/batch/CallAdmission.java
@@ -1,11 +1,11 @@
 package org.copperspindle.batch;
 
 /**
- * Bounds the calls to upstreams of stage pools that have named how many requests a second they take, or want none for a while.
+ * Limits calls to upstreams of stage pools that announced a request rate or requested a backoff.
  */
 public interface CallAdmission {
 
-    /** Lets all calls pass. */
+    /** Admits all calls. */
     CallAdmission ALL = new CallAdmission() {
         @Override
         public boolean mayCall(String upstream) {
@@ -14,7 +14,7 @@
 
         @Override
         public void recordCall(String upstream) {
-            // Nothing is counted.
+            // Calls are not counted.
         }
 
         @Override
@@ -29,33 +29,33 @@
     };
 
     /**
-     * Says whether an upstream may be called now.
+     * Returns whether an upstream may be called now.
      *
      * @param upstream its id
-     * @return false if it would get more than it takes
+     * @return false if the call would exceed its limit
      */
     boolean mayCall(String upstream);
 
     /**
-     * Notes that an upstream is called; right after it was found that it may be.
+     * Records a call to an upstream. To be called right after {@link #mayCall} returned true.
      *
      * @param upstream its id
      */
     void recordCall(String upstream);
 
     /**
-     * Says whether an upstream wants nothing for a while.
+     * Returns whether an upstream is in a backoff that it requested.
      *
      * @param upstream its id
-     * @return true while it rests; it may not be called then
+     * @return true during the backoff, when it may not be called
      */
     boolean isBackingOff(String upstream);
 
     /**
-     * Returns how far apart the calls of an upstream are at least.
+     * Returns the minimum interval between calls to an upstream.
      *
      * @param upstream its id
-     * @return nanoseconds; 0 if it has named no limit
+     * @return nanoseconds; 0 if it announced no limit
      */
     long spacingNanos(String upstream);
 }
--- a/library/src/main/java/org/copperspindle/batch/CallBounds.java
+++ b/library/src/main/java/org/copperspindle/batch/CallBounds.java
@@ -1,10 +1,10 @@
 package org.copperspindle.batch;
 
 /**
- * What the next call of an upstream may take.
+ * Bounds of the next call to an upstream.
  *
- * @param pieces   most pieces, below the limit of a call if several upstreams are free
- * @param bytes    memory for results that the upstream has left
- * @param takesAll whether groups that would rather wait for another upstream go too, behind the others
+ * @param pieces   maximum number of pieces; below the limit of a call if several upstreams are free
+ * @param bytes    free memory for results at the upstream, in bytes
+ * @param takesAll whether groups that prefer to wait for another upstream are included too, after the others
  */
 record CallBounds(int pieces, long bytes, boolean takesAll) {}
--- a/library/src/main/java/org/copperspindle/batch/DispatcherStatus.java
+++ b/library/src/main/java/org/copperspindle/batch/DispatcherStatus.java
@@ -1,21 +1,21 @@
 package org.copperspindle.batch;
 
 /**
- * What a node knows of itself as one that packs calls for all nodes.
+ * A node's own status as a candidate for dispatcher, the node that batches the calls of a pool for all nodes.
  */
 public interface DispatcherStatus {
 
     /**
-     * Says whether the node takes work for others.
+     * Returns whether the node takes work for others.
      *
      * @return false while it starts or stops
      */
     boolean isServing();
 
     /**
-     * Says how fit the node is for it.
+     * Returns how suitable the node is as dispatcher.
      *
-     * @return higher for nodes that should rather pack than others
+     * @return a higher number for nodes that are to be preferred
      */
     int fitness();
 }
--- a/library/src/main/java/org/copperspindle/batch/ExpectedPiecesMessage.java
+++ b/library/src/main/java/org/copperspindle/batch/ExpectedPiecesMessage.java
@@ -6,10 +6,10 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * How many pieces the requests of a node will still send to a pool, told to the node that packs the pool's calls.
+ * The number of pieces that the requests of a node will still send to a pool; sent to the dispatcher of the pool.
  *
  * @param pool   name of the pool
- * @param pieces pieces of stages that have not begun yet
+ * @param pieces number of pieces of stages that have not started yet
  */
 public record ExpectedPiecesMessage(String pool, long pieces) implements WireMessage {
 
--- a/library/src/main/java/org/copperspindle/batch/FreeResultsMessage.java
+++ b/library/src/main/java/org/copperspindle/batch/FreeResultsMessage.java
@@ -8,9 +8,9 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * Results that nobody needs any more, sent to the node that packs the calls of their pool.
+ * Results that are no longer needed; sent to the dispatcher of the pool that produced them.
  *
- * @param pool    pool that made them
+ * @param pool    pool that produced them
  * @param handles their handles
  */
 public record FreeResultsMessage(String pool, List<String> handles) implements WireMessage {
--- a/library/src/main/java/org/copperspindle/batch/MissReason.java
+++ b/library/src/main/java/org/copperspindle/batch/MissReason.java
@@ -1,20 +1,20 @@
 package org.copperspindle.batch;
 
 /**
- * Why a piece was not made.
+ * Why a piece has no result.
  */
 public enum MissReason {
-    /** Its time was over before its turn. */
+    /** Its deadline passed before it was dispatched. */
     LATE,
-    /** A result that it needs no longer exists. */
+    /** An input result that it needs no longer exists. */
     INPUT_GONE,
-    /** Its maker had no memory for the result. */
+    /** The upstream had no memory for the result. */
     NO_ROOM,
-    /** Its maker failed, or the call was lost. */
+    /** The upstream failed to run it, or the call was lost. */
     FAILED;
 
     /**
-     * Finds a reason by its number on the wire.
+     * Returns the reason with a given number on the wire.
      *
      * @param number ordinal
      * @return the reason; {@link #FAILED} for numbers of a newer build
--- a/library/src/main/java/org/copperspindle/batch/PauseDetector.java
+++ b/library/src/main/java/org/copperspindle/batch/PauseDetector.java
@@ -3,54 +3,54 @@
 import java.time.Duration;
 
 /**
- * Notices that this process stood still. Calls that were under way meanwhile seem to have taken as long, and groups of other nodes have
- * gone to another packer.
+ * Detects pauses of this process. Calls that were in progress during a pause seem to have taken that long, and groups
+ * of other nodes have been sent to another dispatcher meanwhile.
  *
- * <p>The process looks at its clock at least every {@link BatchService#LOAD_INTERVAL_NANOS}. After a standstill the first look may
- * be that of an answer which had been waiting, so that everything that judges a time looks here first.
+ * <p>The process checks its clock at least every {@link BatchService#LOAD_INTERVAL_NANOS}. After a pause the first
+ * event to be handled may be a response that had been waiting, so code that evaluates a duration checks here first.
  */
 final class PauseDetector {
 
-    /** Several looks long: a busy process is late by less. */
-    private static final long STANDSTILL_NANOS = Duration.ofMillis(500).toNanos();
+    /** Shortest detected pause: several check intervals, since a busy process is late by less. */
+    private static final long MIN_PAUSE_NANOS = Duration.ofMillis(500).toNanos();
 
-    private long lookedAt;
-    private long wokeAt;
-    private long stoodNanos;
-    private boolean looked;
+    private long checkedAt;
+    private long pauseEndedAt;
+    private long pauseNanos;
+    private boolean checkedBefore;
 
     /**
-     * Looks at the clock.
+     * Compares the clock with the previous check.
      *
      * @param now monotonic time in nanoseconds
      */
-    void look(long now) {
-        if (looked && now - lookedAt >= STANDSTILL_NANOS) {
-            wokeAt = now;
-            stoodNanos = now - lookedAt;
+    void check(long now) {
+        if (checkedBefore && now - checkedAt >= MIN_PAUSE_NANOS) {
+            pauseEndedAt = now;
+            pauseNanos = now - checkedAt;
         }
-        looked = true;
-        lookedAt = now;
+        checkedBefore = true;
+        checkedAt = now;
     }
 
     /**
-     * Says whether something that ends now was under way during a standstill.
+     * Returns whether something that ends now was in progress during a pause.
      *
-     * @param beganAt when it began
-     * @param now     monotonic time in nanoseconds
+     * @param startedAt when it started, monotonic time in nanoseconds
+     * @param now       monotonic time in nanoseconds
      */
-    boolean spoils(long beganAt, long now) {
-        look(now);
-        return stoodNanos > 0 && beganAt - wokeAt < 0;
+    boolean affects(long startedAt, long now) {
+        check(now);
+        return pauseNanos > 0 && startedAt - pauseEndedAt < 0;
     }
 
-    /** Returns how long the last standstill was; 0 if there was none. */
-    long stoodNanos() {
-        return stoodNanos;
+    /** Returns the duration of the last pause; 0 if there was none. */
+    long pauseNanos() {
+        return pauseNanos;
     }
 
-    /** Returns when it ended. */
-    long wokeAt() {
-        return wokeAt;
+    /** Returns when the last pause ended. */
+    long pauseEndedAt() {
+        return pauseEndedAt;
     }
 }
--- a/library/src/main/java/org/copperspindle/batch/PieceCancelMessage.java
+++ b/library/src/main/java/org/copperspindle/batch/PieceCancelMessage.java
@@ -6,9 +6,10 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * Nobody waits for a group any more: what of it is not made yet is dropped, what is being made is freed.
+ * Cancels a group whose results are no longer needed: waiting pieces are dropped, and results of running ones are
+ * released.
  *
- * @param group number of the group at the node that sent it
+ * @param group id of the group at the node that sent it
  */
 public record PieceCancelMessage(long group) implements WireMessage {
 
--- a/library/src/main/java/org/copperspindle/batch/PieceGroup.java
+++ b/library/src/main/java/org/copperspindle/batch/PieceGroup.java
@@ -9,24 +9,24 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * All pieces of one stage of one request, on their way to the node that packs the calls of the stage's pool.
+ * All pieces of one stage of one request, sent to the dispatcher of the stage's pool.
  *
- * @param id             number of the group at the node that sends it
+ * @param id             id of the group at the node that sends it
  * @param requestId      id of the request
- * @param stage          number of the stage in the request's route
- * @param pool           pool that makes the pieces
- * @param pieces         how many pieces there are, numbered from 0
- * @param missing        numbers of the pieces that are still to be made
- * @param key            key of the request's pieces, for a stage that starts from the request; else empty
+ * @param stage          index of the stage in the request's route
+ * @param pool           pool that runs the pieces
+ * @param pieces         number of pieces, numbered from 0
+ * @param missing        numbers of the pieces that have no result yet
+ * @param key            key of the request's pieces for a stage that starts from the request, else empty
  * @param inputs         handles of the results that every piece needs, for a stage that follows others
  * @param rank           urgency of the request, 0 first
- * @param slackMillis    time left in which the pieces must be made for the request to meet its objective; below zero if
- *                       it no longer can
- * @param deadlineMillis time left in which the result is of any use
+ * @param slackMillis    time left in which the pieces must complete for the request to meet its objective; negative
+ *                       if it no longer can
+ * @param deadlineMillis time left until the result is of no use any more
  * @param resultBytes    approximate size of one result
  * @param inputBytes     approximate size of all inputs together; each piece fetches them
  * @param readerDomain   failure domain in which the results will be read; empty if that is not known yet
- * @param ownsInputs     true if nobody else reads the inputs, so that the node that packs the calls gives them up
+ * @param ownsInputs     true if nobody else reads the inputs, so that the dispatcher releases them
  */
 public record PieceGroup(
         long id,
@@ -57,20 +57,20 @@
     }
 
     /**
-     * Returns the same group with less time.
+     * Returns the same group with the elapsed time subtracted.
      *
-     * @param elapsedMillis time that has passed since it was made
-     * @param left          pieces still to be made
-     * @return the group as it is to be sent now
+     * @param elapsedMillis time that has passed since it was created
+     * @param remaining     pieces that have no result yet
+     * @return the group to send now
      */
-    public PieceGroup after(long elapsedMillis, List<Integer> left) {
+    public PieceGroup withElapsed(long elapsedMillis, List<Integer> remaining) {
         return new PieceGroup(
                 id,
                 requestId,
                 stage,
                 pool,
                 pieces,
-                left,
+                remaining,
                 key,
                 inputs,
                 rank,
@@ -83,7 +83,7 @@
     }
 
     private void write(FieldWriter out) {
-        // The numbers of missing pieces are few and small: one byte string each would cost more than a bit set.
+        // A byte per piece: the numbers are few and small, and one byte string per missing piece would cost more.
         byte[] set = new byte[pieces];
         missing.forEach(piece -> set[piece] = 1);
         out.put(1, id)
--- a/library/src/main/java/org/copperspindle/batch/PieceListener.java
+++ b/library/src/main/java/org/copperspindle/batch/PieceListener.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * Waits for the pieces of a group.
+ * Receives the outcomes of the pieces of a group.
  */
 @FunctionalInterface
 public interface PieceListener {
 
     /**
-     * Some pieces are done.
+     * Called when some pieces are done.
      *
-     * @param results their outcomes; each piece comes once
+     * @param results their outcomes; each piece is reported once
      */
     void onResults(List<PieceResult> results);
 }
--- a/library/src/main/java/org/copperspindle/batch/PieceOutcome.java
+++ b/library/src/main/java/org/copperspindle/batch/PieceOutcome.java
@@ -1,29 +1,29 @@
 package org.copperspindle.batch;
 
 /**
- * What became of one piece.
+ * The outcome of one piece.
  */
 public sealed interface PieceOutcome {
 
     /**
-     * Says whether the piece was not made for one reason.
+     * Returns whether the piece was missed for a given reason.
      *
      * @param reason the reason
-     * @return false if it was made or missed for another
+     * @return false if it was made, or missed for another reason
      */
     default boolean isMissedFor(MissReason reason) {
         return this instanceof Missed missed && missed.reason() == reason;
     }
 
     /**
-     * It was made.
+     * The piece was made.
      *
-     * @param handle names the result at its maker
+     * @param handle handle of the result at its producer
      */
     record Made(String handle) implements PieceOutcome {}
 
     /**
-     * It was not made.
+     * The piece was not made.
      *
      * @param reason why
      */
--- a/library/src/main/java/org/copperspindle/batch/PieceQueue.java
+++ b/library/src/main/java/org/copperspindle/batch/PieceQueue.java
@@ -15,21 +15,21 @@
 import org.copperspindle.route.BatchLimits;
 
 /**
- * Groups that wait for calls of one pool, and which of them go next.
+ * The groups that wait for calls of one pool, and the order in which they are dispatched.
  *
- * <p>The load it answers: a burst asks for up to two and a half times what the pool makes, for several seconds. Then
- * groups whose request can still meet its objective go first, by how soon they must be made and a little by rank; those
- * that are late already use what is left over. By rank alone the least urgent would wait with their inputs made until
- * those are forgotten; which requests begin at all is decided before their first stage. In the order of arrival every request would wait longest just when most of
- * them could still be on time.
+ * <p>The order is designed for bursts that demand up to two and a half times the throughput of the pool for several
+ * seconds. Groups whose request can still meet its objective go first, ordered by the time left and to a small degree
+ * by rank; groups that are already late get the remaining capacity. Ordered by rank alone, the least urgent groups
+ * would wait until their inputs expire; which requests start at all is decided before their first stage. In order of
+ * arrival, every request would wait longest just when most of them could still be on time.
  */
 final class PieceQueue {
 
-    /** One rank counts as much as so much time: three ranks of routes span a part of a call. */
+    /** Slack that one rank is worth: the three ranks of routes span a fraction of a call. */
     private static final long RANK_NANOS = 40_000_000L;
 
-    /** Full calls of its results for which a maker must have memory so that a group is split. */
-    private static final int SPLIT_ROOM = 2;
+    /** Number of full calls whose results must fit in the memory of an upstream for a group to be split. */
+    private static final int MIN_CALLS_IN_MEMORY_TO_SPLIT = 2;
 
     private final Map<String, WaitingGroup> groups = new LinkedHashMap<>();
 
@@ -37,29 +37,29 @@
         groups.put(key(group.origin(), group.group().id()), group);
     }
 
-    /** Drops a group; returns it if it waits here. */
+    /** Removes and cancels a group; returns it if it was waiting here. */
     Optional<WaitingGroup> cancel(String origin, long id) {
         Optional<WaitingGroup> group = Optional.ofNullable(groups.remove(key(origin, id)));
         group.ifPresent(WaitingGroup::cancel);
         return group;
     }
 
-    /** Returns the groups of some kind. */
+    /** Returns the groups that match a predicate. */
     List<WaitingGroup> find(Predicate<WaitingGroup> kind) {
         return groups.values().stream().filter(kind).toList();
     }
 
-    /** Takes out the groups whose time is over. */
-    List<WaitingGroup> takeOver(long now) {
-        List<WaitingGroup> over = new ArrayList<>();
+    /** Removes and returns the groups whose deadline has passed. */
+    List<WaitingGroup> removeExpired(long now) {
+        List<WaitingGroup> expired = new ArrayList<>();
         for (Iterator<WaitingGroup> all = groups.values().iterator(); all.hasNext(); ) {
             WaitingGroup group = all.next();
-            if (group.isOver(now)) {
+            if (group.isExpired(now)) {
                 all.remove();
-                over.add(group);
+                expired.add(group);
             }
         }
-        return over;
+        return expired;
     }
 
     boolean isEmpty() {
@@ -75,19 +75,21 @@
     }
 
     /**
-     * Takes the pieces of the next call. While a full call waits, a group that does not fit whole is split: the rest goes with
-     * the next call, with which all of it would have gone, and the places cost nothing; whole groups leave places empty while
-     * pieces wait. With less to do a group stays whole, since its request waits for the later of two calls.
+     * Takes the pieces of the next call. While there are enough pieces for a full call, a group that does not fit as
+     * a whole is split: the rest goes into the next call, which would otherwise have carried all of it, and the extra
+     * places are free; whole groups would leave places empty while pieces wait. With fewer pieces a group is kept
+     * whole, since its request would have to wait for the later of two calls.
      *
-     * <p>Groups that should rather wait for another upstream do so while the pool keeps up. While it is behind they come after
-     * the others, so that calls are full and bytes still mostly stay in a failure domain.
+     * <p>Groups that prefer another upstream wait for it while the pool keeps up. While the pool is behind they come
+     * after the others, so that calls are full and most bytes still stay within a failure domain.
      *
-     * <p>Groups of a call that was lost with its connection are parted: they share calls with groups of their lot only.
+     * <p>Groups of a call that was lost with its connection are partitioned: they share calls only with groups of
+     * their own partition.
      *
-     * @param limits   limits of the pool
-     * @param bounds   what the upstream's call may take
-     * @param now      monotonic time in nanoseconds
-     * @param prefers  whether a group should go to this upstream rather than wait for another
+     * @param limits  limits of the pool
+     * @param bounds  bounds of the call
+     * @param now     monotonic time in nanoseconds
+     * @param prefers whether a group should go to this upstream now rather than wait for another
      * @return the pieces; none if nothing fits
      */
     List<PieceTask> take(BatchLimits limits, CallBounds bounds, long now, Predicate<WaitingGroup> prefers) {
@@ -97,32 +99,32 @@
         List<WaitingGroup> order = new ArrayList<>(bounds.takesAll() ? groups.values() : preferred);
         order.sort(byUrgency(limits, now, preferred));
         List<PieceTask> taken = new ArrayList<>();
-        long left = bounds.bytes();
+        long freeBytes = bounds.bytes();
         for (WaitingGroup group : order) {
             int wanted = group.missing().size();
             int room = Math.min(
                     limits.maxPieces() - taken.size(),
-                    fitting(left, group.group().resultBytes()));
-            boolean enough = taken.size() >= bounds.pieces();
-            boolean parted =
+                    fitting(freeBytes, group.group().resultBytes()));
+            boolean full = taken.size() >= bounds.pieces();
+            boolean otherPartition =
                     !taken.isEmpty() && !group.sharesCallsWith(taken.get(0).group());
-            // The first group of a call goes in any case: it may be larger than a call.
+            // The first group of a call is always taken: it may be larger than a call.
             boolean waitsWhole = wanted > room && !taken.isEmpty() && !(fullCallWaits && maySplit(group, limits));
-            if (enough || parted || room <= 0 || waitsWhole) {
+            if (full || otherPartition || room <= 0 || waitsWhole) {
                 continue;
             }
             int count = Math.min(wanted, room);
             take(group, count, taken);
-            left -= count * group.group().resultBytes();
+            freeBytes -= count * group.group().resultBytes();
         }
         return taken;
     }
 
     /**
-     * Takes the pieces of the group that loses least by a late call, as many as one call takes.
+     * Takes all pieces of the least urgent group that fits into one call.
      *
      * @param limits limits of the pool
-     * @param bytes  memory for results that the upstream has left
+     * @param bytes  free memory for results at the upstream
      * @param now    monotonic time in nanoseconds
      * @return the pieces; none if no group fits whole
      */
@@ -145,11 +147,12 @@
     }
 
     /**
-     * Says whether a group may be made by two calls. Its first results fill their maker's memory until the rest is there:
-     * split groups of large ones would take two makers' whole memory, and calls go out nearly empty while many pieces wait.
+     * Returns whether a group may be split between two calls. Its first results occupy the memory of their producer
+     * until the rest is complete: split groups with large results would fill the memory of two producers, and calls
+     * would go out nearly empty while many pieces wait.
      */
     private static boolean maySplit(WaitingGroup group, BatchLimits limits) {
-        return limits.maxPieces() * group.group().resultBytes() * SPLIT_ROOM <= limits.resultBytes();
+        return limits.maxPieces() * group.group().resultBytes() * MIN_CALLS_IN_MEMORY_TO_SPLIT <= limits.resultBytes();
     }
 
     private static Comparator<WaitingGroup> byUrgency(BatchLimits limits, long now, Set<WaitingGroup> preferred) {
--- a/library/src/main/java/org/copperspindle/batch/PieceResult.java
+++ b/library/src/main/java/org/copperspindle/batch/PieceResult.java
@@ -9,7 +9,7 @@
  * The outcome of one piece of a group.
  *
  * @param piece   its number
- * @param outcome what became of it
+ * @param outcome its outcome
  */
 public record PieceResult(int piece, PieceOutcome outcome) implements WireMessage {
 
--- a/library/src/main/java/org/copperspindle/batch/PieceResultsMessage.java
+++ b/library/src/main/java/org/copperspindle/batch/PieceResultsMessage.java
@@ -8,10 +8,10 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * Outcomes of some pieces of a group, on their way back.
+ * Outcomes of some pieces of a group, sent back to the node that submitted the group.
  *
- * @param group   number of the group
- * @param results outcomes; other pieces of the group may still be under way
+ * @param group   id of the group
+ * @param results outcomes; other pieces of the group may still be in progress
  */
 public record PieceResultsMessage(long group, List<PieceResult> results) implements WireMessage {
 
--- a/library/src/main/java/org/copperspindle/batch/PoolDispatcher.java
+++ b/library/src/main/java/org/copperspindle/batch/PoolDispatcher.java
@@ -20,24 +20,27 @@
 import org.copperspindle.time.TimerService;
 
 /**
- * Packs the calls of one pool. A call is formed at the last moment, when an upstream is free, so that all that has come
- * by then goes into it and the most urgent of it first. While the pool keeps up, pieces hardly wait and calls are small;
- * as it fills, more gather while calls run, and calls grow up to their limit, where the pool makes most.
+ * Batches the pieces of one pool into calls and dispatches them to the upstreams. A call is formed at the last
+ * moment, when an upstream is free, so that it takes all pieces that have arrived by then, the most urgent first.
+ * While the pool keeps up, pieces hardly wait and calls are small. As the load rises, more pieces gather while calls
+ * run, and calls grow up to their limit, at which the throughput of the pool is highest.
  */
 final class PoolDispatcher {
 
     private static final Logger LOGGER = LogManager.getLogger(PoolDispatcher.class);
 
-    /** Added to the time that a call may take for fetching inputs over loaded links, and for packets that are sent again. */
-    private static final Duration FETCH = Duration.ofMillis(250);
+    /** Added to the timeout of a call, for fetching inputs over loaded links and for retransmitted packets. */
+    private static final Duration FETCH_ALLOWANCE = Duration.ofMillis(250);
 
-    /** Pause of an upstream that refused a call because others call it as well: a fraction of a call. */
+    /**
+     * Pause of an upstream that refused a call because other nodes call it as well: a fraction of a call's duration.
+     */
     private static final long BUSY_PAUSE_NANOS = Duration.ofMillis(60).toNanos();
 
-    /** Pause of an upstream without memory for results; callers free them within a fraction of a second. */
+    /** Pause of an upstream without memory for results; its results are released within a fraction of a second. */
     private static final long ROOM_PAUSE_NANOS = Duration.ofMillis(100).toNanos();
 
-    /** A piece is made so often at most: each failure of its maker costs it a call's time. */
+    /** Maximum number of attempts of a piece: each failure of an upstream costs it the duration of a call. */
     private static final int MAX_LOSSES = 3;
 
     private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -53,11 +56,11 @@
     private final PieceQueue queue = new PieceQueue();
     private final PoolUpstreams upstreams;
     private final Map<WaitingGroup, Integer> running = new HashMap<>();
-    private final FreedResults freed;
+    private final ResultReleaser releaser;
     private final DeferredTask wake;
-    private final CallParting parting = new CallParting();
+    private final CallSplitter splitter = new CallSplitter();
     private final FetchTimeEstimator fetchTime = new FetchTimeEstimator();
-    private Optional<PauseDetector> standstills = Optional.empty();
+    private Optional<PauseDetector> pauseDetector = Optional.empty();
     private PoolWork work = PoolWork.NONE;
 
     PoolDispatcher(
@@ -76,17 +79,17 @@
         this.sink = sink;
         this.log = log;
         this.upstreams = new PoolUpstreams(pool, directory);
-        this.freed = new FreedResults(upstreams, timers, port, this::dispatch);
+        this.releaser = new ResultReleaser(upstreams, timers, port, this::dispatch);
         this.wake = new DeferredTask(timers, this::dispatch);
     }
 
-    /** Sets what tells whether this process stood still while a call was under way; without it, it never did. */
-    PoolDispatcher judgingBy(PauseDetector watch) {
-        standstills = Optional.of(watch);
+    /** Sets the detector of process pauses during calls; without one, no pauses are assumed. */
+    PoolDispatcher withPauseDetector(PauseDetector detector) {
+        pauseDetector = Optional.of(detector);
         return this;
     }
 
-    /** Sets what bounds the calls of upstreams; without it, nothing does. */
+    /** Sets the admission of calls to upstreams; without one, calls are not limited. */
     PoolDispatcher limitCallsWith(CallAdmission bound) {
         upstreams.limitCallsWith(bound);
         return this;
@@ -98,58 +101,60 @@
     }
 
     /**
-     * Drops all groups of other nodes; results of calls that run for them are given up as they come.
+     * Drops all groups of other nodes; results of their running calls are released as they arrive.
      *
-     * @param self the node whose groups stay
-     * @return how many were dropped
+     * @param self the node whose groups are kept
+     * @return number of dropped groups
      */
-    int dropOthers(String self) {
+    int dropGroupsOfOthers(String self) {
         Predicate<WaitingGroup> isOther = group -> !group.origin().equals(self) && !group.isCancelled();
         List<WaitingGroup> waiting = queue.find(isOther);
-        List<WaitingGroup> made = running.keySet().stream().filter(isOther).toList();
+        List<WaitingGroup> inProgress =
+                running.keySet().stream().filter(isOther).toList();
         waiting.forEach(group -> cancel(group.origin(), group.group().id()));
-        made.forEach(WaitingGroup::cancel);
-        return waiting.size() + made.size();
+        inProgress.forEach(WaitingGroup::cancel);
+        return waiting.size() + inProgress.size();
     }
 
-    /** Drops what waits of a group; what is being made is freed when it comes. */
+    /** Cancels a group: drops its waiting pieces; the results of running ones are released when they arrive. */
     void cancel(String origin, long id) {
-        queue.cancel(origin, id).ifPresent(this::giveUpInputs);
+        queue.cancel(origin, id).ifPresent(this::releaseInputs);
         running.keySet().stream()
                 .filter(g -> g.origin().equals(origin) && g.group().id() == id)
                 .forEach(WaitingGroup::cancel);
     }
 
     /**
-     * Drops what waits for a node that is gone. The node may be back in a new life, whose groups stay.
+     * Cancels the groups of a node that is gone. The node may have restarted already; groups of its new incarnation
+     * are kept.
      *
      * @param origin the node
-     * @param until  when it was lost, monotonic time in nanoseconds
-     * @return results that were made for it, and that nobody else will give up
+     * @param until  when the node was lost, monotonic time in nanoseconds
+     * @return results that were made for it and that nobody else will release
      */
     List<String> forget(String origin, long until) {
         Predicate<WaitingGroup> isOld = group -> group.origin().equals(origin) && group.arrivedAt() - until <= 0;
         queue.find(isOld).forEach(group -> cancel(origin, group.group().id()));
         running.keySet().stream().filter(isOld).forEach(WaitingGroup::cancel);
         return upstreams.all().stream()
-                .flatMap(upstream -> upstream.madeFor(isOld).stream())
+                .flatMap(upstream -> upstream.resultsOf(isOld).stream())
                 .toList();
     }
 
     void free(List<String> handles) {
-        freed.add(handles);
+        releaser.add(handles);
     }
 
-    /** Called when the upstreams of the pool changed. */
+    /** Sends waiting pieces to free upstreams. Also called when the upstreams of the pool changed. */
     void dispatch() {
         Optional<BatchLimits> known = limits.get();
         if (known.isEmpty()) {
             return;
         }
         long now = timers.nanoTime();
-        queue.takeOver(now).forEach(group -> miss(group, group.missing(), MissReason.LATE));
+        queue.removeExpired(now).forEach(group -> reportMissed(group, group.missing(), MissReason.LATE));
         upstreams.refresh();
-        List<StageUpstream> slow = upstreams.leftAlone(now);
+        List<StageUpstream> slow = upstreams.skippedAsSlow(now);
         List<StageUpstream> free = upstreams.callable(known.get(), now);
         slow.retainAll(free);
         free.removeAll(slow);
@@ -157,38 +162,38 @@
             StageUpstream upstream = free.remove(0);
             CallBounds bounds = new CallBounds(
                     (queue.pieces() + free.size()) / (free.size() + 1),
-                    upstream.roomLeft(known.get(), now),
+                    upstream.freeMemory(known.get(), now),
                     upstreams.isBehind(known.get(), queue.pieces(), now));
             List<PieceTask> tasks =
-                    queue.take(known.get(), bounds, now, group -> isFor(group, upstream, now, known.get()));
+                    queue.take(known.get(), bounds, now, group -> shouldSendTo(group, upstream, now, known.get()));
             if (!tasks.isEmpty()) {
                 send(upstream, tasks, known.get());
             }
         }
-        trySlowOnes(slow, known.get(), now);
-        wakeLater();
+        probeSlowUpstreams(slow, known.get(), now);
+        scheduleWake();
     }
 
     /**
-     * Gives slow upstreams that are left alone one small call each, now and then. Nothing else can show that they are sound
-     * again, and under load another one is always busy: upstreams that had been slow for a moment stayed unused as long as the
-     * load lasted, and callers were refused. The call has the least urgent group, since what goes to an upstream that is
-     * still slow comes late.
+     * Sends one small call now and then to each slow upstream that is skipped otherwise. Only a call can show that it
+     * has recovered, and under load a faster upstream is always busy: without probes, upstreams that had been slow
+     * for a moment stayed unused as long as the load lasted, and callers were refused. The probe carries the least
+     * urgent group, since results of an upstream that is still slow come late.
      */
-    private void trySlowOnes(List<StageUpstream> slow, BatchLimits known, long now) {
+    private void probeSlowUpstreams(List<StageUpstream> slow, BatchLimits known, long now) {
         for (StageUpstream upstream : slow) {
-            if (queue.isEmpty() || !upstream.isFree(known, now) || !upstream.isTrialDue(now)) {
+            if (queue.isEmpty() || !upstream.isFree(known, now) || !upstream.isProbeDue(now)) {
                 continue;
             }
-            List<PieceTask> tasks = queue.takeLeastUrgent(known, upstream.roomLeft(known, now), now);
+            List<PieceTask> tasks = queue.takeLeastUrgent(known, upstream.freeMemory(known, now), now);
             if (!tasks.isEmpty()) {
-                upstream.tried();
+                upstream.startProbe();
                 send(upstream, tasks, known);
             }
         }
     }
 
-    /** Returns how loaded the pool is. */
+    /** Returns the load of the pool. */
     PoolLoad load() {
         return upstreams.load(limits.get(), queue.pieces(), timers.nanoTime());
     }
@@ -202,21 +207,21 @@
     }
 
     /**
-     * Says whether a group should go to an upstream now. One with large inputs or results waits a while for an upstream in the
-     * failure domain where they were made or will be read, as far as its request stays on time: bytes between failure
-     * domains are what stage work costs most.
+     * Returns whether a group should be sent to an upstream now. A group with large inputs or results waits a while
+     * for an upstream in the failure domain where they were produced or will be read, as long as its request stays on
+     * time: traffic between failure domains is the largest cost of stage work.
      */
-    private boolean isFor(WaitingGroup group, StageUpstream upstream, long now, BatchLimits known) {
-        long wait = group.nearWaitNanos(known);
+    private boolean shouldSendTo(WaitingGroup group, StageUpstream upstream, long now, BatchLimits known) {
+        long wait = group.maxNearWaitNanos(known);
         if (now - group.arrivedAt() >= wait) {
             return true;
         }
-        Optional<String> domain = group.isDrawnToReader()
+        Optional<String> domain = group.prefersReaderDomain()
                 ? Optional.of(group.group().readerDomain())
                 : group.group().inputs().stream().findFirst().flatMap(this::domainOf);
         return domain.isEmpty()
-                || domain.get().equals(upstream.news().failureDomain())
-                || !upstreams.isSoonFree(domain.get(), group.arrivedAt() + wait - now, now);
+                || domain.get().equals(upstream.announced().failureDomain())
+                || !upstreams.isFreeWithin(domain.get(), group.arrivedAt() + wait - now, now);
     }
 
     private Optional<String> domainOf(String handle) {
@@ -228,135 +233,143 @@
     private void send(StageUpstream upstream, List<PieceTask> tasks, BatchLimits known) {
         long now = timers.nanoTime();
         long expected = known.expectedNanos(tasks.size());
-        upstreams.calls(upstream);
-        upstream.started(now + (long) (expected * upstream.slowness()));
+        upstreams.recordCall(upstream);
+        upstream.onSent(now + (long) (expected * upstream.slowness()));
         tasks.forEach(task -> running.merge(task.group(), 1, Integer::sum));
-        long fetched = fetchTime.nanos(known, inputBytes(tasks));
-        tasks.stream().map(PieceTask::group).distinct().forEach(group -> giveUpFetched(group, now, fetched));
-        long timeout = upstream.patienceNanos(expected) / NANOS_PER_MILLI + FETCH.toMillis();
+        long fetchNanos = fetchTime.nanos(known, inputBytes(tasks));
+        tasks.stream()
+                .map(PieceTask::group)
+                .distinct()
+                .forEach(group -> releaseInputsOnceFetched(group, now, fetchNanos));
+        long timeout = upstream.timeoutNanos(expected) / NANOS_PER_MILLI + FETCH_ALLOWANCE.toMillis();
         if (log.takesServed(now)) {
             LOGGER.info(
                     "event=stage-call pool={} upstream={} pieces={} waiting={} room_left={} requests={}",
                     pool,
-                    upstream.news().id(),
+                    upstream.announced().id(),
                     tasks.size(),
                     queue.pieces(),
-                    upstream.roomLeft(known, now),
+                    upstream.freeMemory(known, now),
                     tasks.stream()
                             .map(t -> t.group().group().requestId())
                             .distinct()
                             .toList());
         }
         port.run(
-                upstream.news(),
-                tasks.stream().map(task -> task.item(now)).toList(),
+                upstream.announced(),
+                tasks.stream().map(task -> task.toItem(now)).toList(),
                 timeout,
-                result -> ended(upstream, tasks, result, expected, now));
+                result -> onCallEnded(upstream, tasks, result, expected, now));
     }
 
-    private void ended(
+    private void onCallEnded(
             StageUpstream upstream, List<PieceTask> tasks, StageCallResult result, long expected, long sentAt) {
         long now = timers.nanoTime();
-        boolean spoiled = standstills.filter(watch -> watch.spoils(sentAt, now)).isPresent();
+        boolean affectedByPause =
+                pauseDetector.filter(detector -> detector.affects(sentAt, now)).isPresent();
         tasks.forEach(task -> running.computeIfPresent(task.group(), (g, n) -> n > 1 ? n - 1 : null));
         if (result instanceof StageCallResult.Answered answered) {
             long tookNanos = now - sentAt;
             long made = answered.outcomes().stream()
                     .filter(PieceOutcome.Made.class::isInstance)
                     .count();
-            work = work.and((spoiled ? expected : tookNanos) / NANOS_PER_SECOND, made);
-            if (spoiled) {
-                upstream.ended();
+            work = work.plus((affectedByPause ? expected : tookNanos) / NANOS_PER_SECOND, made);
+            if (affectedByPause) {
+                upstream.onInconclusiveEnd();
             } else {
-                upstream.answered(expected, tookNanos);
-                noteSpeed(upstream, now);
-                learnFetchTime(tasks, answered.outcomes());
+                upstream.onAnswered(expected, tookNanos);
+                recordSpeed(upstream, now);
+                updateFetchTime(tasks, answered.outcomes());
             }
-            take(upstream, tasks, answered.outcomes(), now);
+            handleOutcomes(upstream, tasks, answered.outcomes(), now);
         } else if (result instanceof StageCallResult.NotRun notRun) {
-            refused(upstream, tasks, notRun, now);
+            onRefused(upstream, tasks, notRun, now);
         } else if (result instanceof StageCallResult.Lost lost) {
-            lost(upstream, tasks, lost, spoiled, now - sentAt);
+            onLost(upstream, tasks, lost, affectedByPause, now - sentAt);
         }
         dispatch();
     }
 
-    private void refused(StageUpstream upstream, List<PieceTask> tasks, StageCallResult.NotRun notRun, long now) {
-        upstream.notRun(now, upstreams.isCold(upstream, now) ? StageUpstream.COLD_PAUSE_NANOS : BUSY_PAUSE_NANOS);
+    private void onRefused(StageUpstream upstream, List<PieceTask> tasks, StageCallResult.NotRun notRun, long now) {
+        upstream.onRefused(now, upstreams.isCold(upstream, now) ? StageUpstream.COLD_PAUSE_NANOS : BUSY_PAUSE_NANOS);
         LOGGER.info(
                 "event=stage-call-refused pool={} upstream={} pieces={} reason={}",
                 pool,
-                upstream.news().id(),
+                upstream.announced().id(),
                 tasks.size(),
                 notRun.reason());
-        tasks.forEach(this::putBack);
+        tasks.forEach(this::requeue);
     }
 
-    private void lost(
-            StageUpstream upstream, List<PieceTask> tasks, StageCallResult.Lost lost, boolean spoiled, long tookNanos) {
+    private void onLost(
+            StageUpstream upstream,
+            List<PieceTask> tasks,
+            StageCallResult.Lost lost,
+            boolean affectedByPause,
+            long tookNanos) {
         long pause = 0;
-        if (spoiled) {
-            // After a standstill of this process a call that has no answer proves nothing.
-            upstream.ended();
+        if (affectedByPause) {
+            // After a pause of this process, a missing response says nothing about the upstream.
+            upstream.onInconclusiveEnd();
         } else {
-            pause = upstream.lost(timers.nanoTime());
+            pause = upstream.onLost(timers.nanoTime());
         }
         LOGGER.warn(
                 "event=stage-call-lost pool={} upstream={} pieces={} reason={} took_ms={} pause_ms={}",
                 pool,
-                upstream.news().id(),
+                upstream.announced().id(),
                 tasks.size(),
                 lost.reason(),
                 tookNanos / NANOS_PER_MILLI,
                 pause / NANOS_PER_MILLI);
         if (lost.connectionLost()) {
-            parting.part(tasks);
+            splitter.split(tasks);
         }
-        again(tasks, MissReason.FAILED);
+        retry(tasks, MissReason.FAILED);
     }
 
-    private void noteSpeed(StageUpstream upstream, long now) {
+    private void recordSpeed(StageUpstream upstream, long now) {
         boolean slow = upstreams.isSlow(upstream, now);
-        if (upstream.found(slow, now)) {
+        if (upstream.recordSpeed(slow, now)) {
             LOGGER.info(
                     "event=stage-upstream-{} pool={} upstream={} slowness={}",
                     slow ? "slow" : "sound",
                     pool,
-                    upstream.news().id(),
+                    upstream.announced().id(),
                     Math.round(upstream.slowness() * 10) / 10.0);
         }
     }
 
-    private void take(StageUpstream upstream, List<PieceTask> tasks, List<PieceOutcome> outcomes, long now) {
+    private void handleOutcomes(StageUpstream upstream, List<PieceTask> tasks, List<PieceOutcome> outcomes, long now) {
         Map<WaitingGroup, List<PieceResult>> finished = new LinkedHashMap<>();
         List<PieceTask> failed = new ArrayList<>();
         for (int i = 0; i < tasks.size(); i++) {
             PieceTask task = tasks.get(i);
             PieceOutcome outcome = outcomes.get(i);
             if (outcome instanceof PieceOutcome.Made made) {
-                made(upstream, task, made, now);
+                onMade(upstream, task, made, now);
             }
             if (outcome.isMissedFor(MissReason.NO_ROOM)) {
                 upstream.pause(now, ROOM_PAUSE_NANOS);
             }
             if (outcome.isMissedFor(MissReason.NO_ROOM) && task.group().hasInputs()) {
-                putBack(task);
+                requeue(task);
             } else if (outcome.isMissedFor(MissReason.FAILED)) {
                 failed.add(task);
             } else {
                 finished.computeIfAbsent(task.group(), g -> new ArrayList<>())
-                        .add(new PieceResult(task.piece(), told(outcome)));
+                        .add(new PieceResult(task.piece(), reportedOutcome(outcome)));
             }
         }
-        noteRoom(upstream, outcomes, now);
+        logMissingRoom(upstream, outcomes, now);
         if (failed.size() * 2 > tasks.size()) {
-            // One piece that fails can be bad luck; an upstream that fails most would get the same pieces again at
-            // once.
-            upstream.failing(now);
+            // A single failed piece may be accidental. An upstream that fails most pieces must not get the same ones
+            // again at once.
+            upstream.backOff(now);
         } else {
             upstream.recordSuccess();
         }
-        again(failed, MissReason.FAILED);
+        retry(failed, MissReason.FAILED);
         finished.forEach((group, results) -> {
             if (!group.isCancelled()) {
                 sink.deliver(
@@ -365,32 +378,32 @@
         });
     }
 
-    private void noteRoom(StageUpstream upstream, List<PieceOutcome> outcomes, long now) {
-        long missed = outcomes.stream()
+    private void logMissingRoom(StageUpstream upstream, List<PieceOutcome> outcomes, long now) {
+        long missedCount = outcomes.stream()
                 .filter(outcome -> outcome.isMissedFor(MissReason.NO_ROOM))
                 .count();
-        if (missed > 0 && log.takesFailed(now)) {
+        if (missedCount > 0 && log.takesFailed(now)) {
             LOGGER.info(
                     "event=stage-call-without-room pool={} upstream={} pieces={} missed={} room_left={}",
                     pool,
-                    upstream.news().id(),
+                    upstream.announced().id(),
                     outcomes.size(),
-                    missed,
-                    limits.get().map(known -> upstream.roomLeft(known, now)).orElse(0L));
+                    missedCount,
+                    limits.get().map(known -> upstream.freeMemory(known, now)).orElse(0L));
         }
     }
 
     /**
-     * Returns what a request is told of a piece. One that found no room was put back unless its inputs are given up: sent
-     * again without them, it would only be told so by the next call.
+     * Returns the outcome that is reported to the request. A piece for which there was no room was requeued unless
+     * its inputs have been released; sent again without them, the next call would only report them as gone.
      */
-    private static PieceOutcome told(PieceOutcome outcome) {
+    private static PieceOutcome reportedOutcome(PieceOutcome outcome) {
         return outcome.isMissedFor(MissReason.NO_ROOM) ? new PieceOutcome.Missed(MissReason.INPUT_GONE) : outcome;
     }
 
-    private void made(StageUpstream upstream, PieceTask task, PieceOutcome.Made made, long now) {
-        long kept = limits.get().map(BatchLimits::resultRetentionNanos).orElse(0L);
-        upstream.holds(task.group(), made.handle(), task.group().group().resultBytes(), now + kept);
+    private void onMade(StageUpstream upstream, PieceTask task, PieceOutcome.Made made, long now) {
+        long retention = limits.get().map(BatchLimits::resultRetentionNanos).orElse(0L);
+        upstream.addResult(task.group(), made.handle(), task.group().group().resultBytes(), now + retention);
         if (task.group().isCancelled()) {
             free(List.of(made.handle()));
         }
@@ -402,26 +415,26 @@
                 .sum();
     }
 
-    /** Gives the inputs of a group up once the upstream has fetched them. */
-    private void giveUpFetched(WaitingGroup group, long now, long fetchNanos) {
-        group.sent(now);
+    /** Releases the inputs of a group once the upstream has fetched them. */
+    private void releaseInputsOnceFetched(WaitingGroup group, long now, long fetchNanos) {
+        group.markSent(now);
         if (group.group().ownsInputs()) {
             timers.schedule(fetchNanos, () -> {
-                if (group.hasFetched(timers.nanoTime(), fetchNanos)) {
-                    giveUpInputs(group);
+                if (group.hasFetchedInputs(timers.nanoTime(), fetchNanos)) {
+                    releaseInputs(group);
                 }
             });
         }
     }
 
-    /** Learns from a call whose inputs may have been given up while it ran. */
-    private void learnFetchTime(List<PieceTask> tasks, List<PieceOutcome> outcomes) {
-        boolean tooEarly = false;
+    /** Updates the fetch time estimate from a call whose inputs may have been released while it ran. */
+    private void updateFetchTime(List<PieceTask> tasks, List<PieceOutcome> outcomes) {
+        boolean releasedTooEarly = false;
         for (int i = 0; i < tasks.size(); i++) {
-            tooEarly |= outcomes.get(i).isMissedFor(MissReason.INPUT_GONE)
+            releasedTooEarly |= outcomes.get(i).isMissedFor(MissReason.INPUT_GONE)
                     && !tasks.get(i).group().hasInputs();
         }
-        if (tooEarly) {
+        if (releasedTooEarly) {
             fetchTime.recordEarlyRelease();
             LOGGER.info("event=inputs-given-up-early pool={} pieces={}", pool, tasks.size());
         } else {
@@ -429,38 +442,38 @@
         }
     }
 
-    private void giveUpInputs(WaitingGroup group) {
+    private void releaseInputs(WaitingGroup group) {
         List<String> inputs = group.takeInputs();
         if (!inputs.isEmpty()) {
-            sink.giveUp(inputs);
+            sink.release(inputs);
         }
     }
 
-    /** Makes pieces of a lost call again, unless they were lost too often. */
-    private void again(List<PieceTask> tasks, MissReason reason) {
+    /** Requeues the pieces of a lost call, unless they were lost too often. */
+    private void retry(List<PieceTask> tasks, MissReason reason) {
         Map<WaitingGroup, List<Integer>> byGroup = new LinkedHashMap<>();
         tasks.forEach(task ->
                 byGroup.computeIfAbsent(task.group(), g -> new ArrayList<>()).add(task.piece()));
         byGroup.forEach((group, pieces) -> {
             if (!group.hasInputs()) {
-                miss(group, pieces, MissReason.INPUT_GONE);
-            } else if (group.lost() >= MAX_LOSSES) {
-                miss(group, pieces, reason);
+                reportMissed(group, pieces, MissReason.INPUT_GONE);
+            } else if (group.recordLoss() >= MAX_LOSSES) {
+                reportMissed(group, pieces, reason);
             } else {
-                pieces.forEach(piece -> putBack(new PieceTask(group, piece)));
+                pieces.forEach(piece -> requeue(new PieceTask(group, piece)));
             }
         });
     }
 
-    private void putBack(PieceTask task) {
+    private void requeue(PieceTask task) {
         if (!task.group().isCancelled()) {
             task.group().missing().add(task.piece());
             queue.add(task.group());
         }
     }
 
-    private void miss(WaitingGroup group, List<Integer> pieces, MissReason reason) {
-        giveUpInputs(group);
+    private void reportMissed(WaitingGroup group, List<Integer> pieces, MissReason reason) {
+        releaseInputs(group);
         if (group.isCancelled() || pieces.isEmpty()) {
             return;
         }
@@ -470,28 +483,34 @@
         sink.deliver(group.origin(), new PieceResultsMessage(group.group().id(), results));
     }
 
-    /** Looks again while something waits: for an upstream whose pause ends, and for groups whose time runs out. */
-    private void wakeLater() {
+    /**
+     * Schedules another dispatch while groups wait, to find upstreams whose pause has ended and groups whose deadline
+     * has passed.
+     */
+    private void scheduleWake() {
         if (!queue.isEmpty()) {
             wake.schedule(BUSY_PAUSE_NANOS);
         }
     }
 
-    /** Takes outcomes to the node that waits for them, and inputs that nobody needs to the nodes of their pools. */
+    /**
+     * Delivers outcomes to the node that waits for them, and releases inputs at the dispatchers of the pools that
+     * produced them.
+     */
     interface ResultSink {
         /**
          * Delivers outcomes.
          *
-         * @param origin  node that sent the group
+         * @param origin  node that submitted the group
          * @param results the outcomes
          */
         void deliver(String origin, PieceResultsMessage results);
 
         /**
-         * Gives results of other pools up.
+         * Releases results of other pools.
          *
          * @param handles their handles
          */
-        void giveUp(List<String> handles);
+        void release(List<String> handles);
     }
 }
--- a/library/src/main/java/org/copperspindle/batch/PoolLoad.java
+++ b/library/src/main/java/org/copperspindle/batch/PoolLoad.java
@@ -1,18 +1,18 @@
 package org.copperspindle.batch;
 
 /**
- * How loaded a stage pool is.
+ * The load of a stage pool.
  *
- * @param waitNanos       time until a group that comes now would begin
- * @param piecesPerSecond what the pool makes in full calls; 0 if not known
+ * @param waitNanos       time until a group that arrives now would start
+ * @param piecesPerSecond throughput of the pool in full calls; 0 if unknown
  * @param expectedPieces  pieces that requests in earlier stages will send
  */
 public record PoolLoad(long waitNanos, double piecesPerSecond, long expectedPieces) {
 
-    /** Nothing is known: no load is assumed. */
+    /** Load of an unknown pool: no load is assumed. */
     public static final PoolLoad UNKNOWN = new PoolLoad(0, 0, 0);
 
-    PoolLoad withPromised(long pieces) {
+    PoolLoad withExpectedPieces(long pieces) {
         return new PoolLoad(waitNanos, piecesPerSecond, pieces);
     }
 }
--- a/library/src/main/java/org/copperspindle/batch/PoolLoadMessage.java
+++ b/library/src/main/java/org/copperspindle/batch/PoolLoadMessage.java
@@ -6,11 +6,11 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * How long pieces wait for a pool's upstreams, told by the node that packs its calls.
+ * The load of a pool, broadcast by its dispatcher.
  *
  * @param pool           name of the pool
- * @param waitMillis     time until a group that comes now would begin
- * @param perSecond      pieces that the pool makes in a second of full calls
+ * @param waitMillis     time until a group that arrives now would start
+ * @param perSecond      pieces that the pool completes in a second of full calls
  * @param expectedPieces pieces that requests in earlier stages will send
  */
 public record PoolLoadMessage(String pool, long waitMillis, long perSecond, long expectedPieces)
--- a/library/src/main/java/org/copperspindle/batch/PoolUpstreams.java
+++ b/library/src/main/java/org/copperspindle/batch/PoolUpstreams.java
@@ -15,26 +15,29 @@
 import org.copperspindle.route.BatchLimits;
 
 /**
- * The upstreams of one pool, as the node that packs its calls knows them: which of them a call may go to, which are left alone
- * since they are slow, and how loaded all are together.
+ * The upstreams of one pool as seen by its dispatcher: which of them may be called, which are skipped because they
+ * are slow, and the load of all of them together.
  */
 final class PoolUpstreams {
 
-    /** An upstream so much slower than the fastest gets no call that a faster one would finish before. */
-    private static final double SLOW = 2.0;
+    /**
+     * Ratio to the slowness of the fastest upstream above which an upstream counts as slow; it gets no call that a
+     * faster one would finish earlier.
+     */
+    private static final double SLOW_FACTOR = 2.0;
 
     /**
-     * A pool is behind when so many full calls wait for each of its upstreams. With one full call for the whole pool as the
-     * bound, a pool of thirty upstreams was always behind, since groups that wait for an upstream of their failure domain count
-     * as well, and its pieces read most of their inputs from other failure domains.
+     * Number of waiting full calls per upstream from which a pool is behind. With one full call for the whole pool as
+     * the bound, a pool of thirty upstreams was always behind, since groups that wait for an upstream in their
+     * failure domain count as well, and its pieces read most of their inputs from other failure domains.
      */
     private static final double BEHIND_CALLS = 0.5;
 
-    /** Told when no upstream of the pool can be used. */
-    private static final long LONGEST_WAIT_NANOS = Duration.ofSeconds(2).toNanos();
+    /** Wait time reported when no upstream of the pool is usable. */
+    private static final long MAX_WAIT_NANOS = Duration.ofSeconds(2).toNanos();
 
-    /** Requests that an upstream gets for a call: the call itself, and what makes it forget the results. */
-    private static final int CALLS_A_BATCH = 2;
+    /** Requests per call to a rate-limited upstream: the call itself and the one that releases its results. */
+    private static final int REQUESTS_PER_CALL = 2;
 
     private static final double NANOS_PER_SECOND = 1e9;
 
@@ -57,84 +60,90 @@
         return byId.values();
     }
 
-    /** Takes over what is announced now. */
+    /** Updates the upstreams from the directory. */
     void refresh() {
         ready = directory.ready(pool);
-        ready.forEach(news -> byId.compute(news.id(), (id, known) -> known(known, news)));
+        ready.forEach(announced -> byId.compute(announced.id(), (id, known) -> update(known, announced)));
         byId.values().removeIf(u -> u.calls() == 0 && !isReady(u));
     }
 
-    /** Says whether an upstream may be called at all: it has neither left, nor drains, nor is its failure domain evacuated. */
+    /**
+     * Returns whether an upstream is ready: it has not left, is not draining, and its failure domain is not
+     * evacuated.
+     */
     boolean isReady(StageUpstream upstream) {
-        return ready.contains(upstream.news());
+        return ready.contains(upstream.announced());
     }
 
-    /** Says whether an upstream bears less than others for a while. */
+    /** Returns whether an upstream is cold and can take only a few requests for a while. */
     boolean isCold(StageUpstream upstream, long now) {
-        return directory.isCold(upstream.news(), now);
+        return directory.isCold(upstream.announced(), now);
     }
 
-    /** Says whether an upstream takes one more request now, whatever it is. */
+    /** Returns whether an upstream takes one more request of any kind now. */
     boolean mayCall(StageUpstream upstream) {
-        return admission.mayCall(upstream.news().id());
+        return admission.mayCall(upstream.announced().id());
     }
 
-    /** Notes that an upstream gets a call that makes pieces. */
-    void calls(StageUpstream upstream) {
-        admission.recordCall(upstream.news().id());
-        upstream.worked();
+    /** Records a call that runs pieces. */
+    void recordCall(StageUpstream upstream) {
+        admission.recordCall(upstream.announced().id());
+        upstream.markWorked();
     }
 
-    /** Notes that an upstream is told which results it may forget. */
-    void frees(StageUpstream upstream) {
-        admission.recordCall(upstream.news().id());
+    /** Records a request that releases results. */
+    void recordRelease(StageUpstream upstream) {
+        admission.recordCall(upstream.announced().id());
     }
 
     Optional<StageUpstream> findByAddress(String address) {
         return byId.values().stream()
-                .filter(u -> u.news().address().equals(address))
+                .filter(u -> u.announced().address().equals(address))
                 .findFirst();
     }
 
-    /** Returns the upstreams that a call may go to now, the fastest first. */
+    /** Returns the upstreams that may be called now, the fastest first. */
     List<StageUpstream> callable(BatchLimits limits, long now) {
         return byId.values().stream()
-                .filter(u -> u.isFree(limits, now) && isReady(u) && mayWork(u))
+                .filter(u -> u.isFree(limits, now) && isReady(u) && mayRunPieces(u))
                 .sorted(Comparator.comparingDouble(StageUpstream::slowness))
                 .collect(Collectors.toCollection(ArrayList::new));
     }
 
-    /** Returns the upstreams so slow that a faster one, which is busy now, will end another call before them. */
-    List<StageUpstream> leftAlone(long now) {
-        double slow = slowFrom(now);
-        boolean fastBusy = byId.values().stream().anyMatch(u -> u.calls() > 0 && u.slowness() <= slow);
+    /**
+     * Returns the slow upstreams, as long as a faster one is busy: it is likely to finish its call and another one
+     * sooner.
+     */
+    List<StageUpstream> skippedAsSlow(long now) {
+        double threshold = slowThreshold(now);
+        boolean fastBusy = byId.values().stream().anyMatch(u -> u.calls() > 0 && u.slowness() <= threshold);
         return byId.values().stream()
-                .filter(u -> fastBusy && u.slowness() > slow)
+                .filter(u -> fastBusy && u.slowness() > threshold)
                 .collect(Collectors.toCollection(ArrayList::new));
     }
 
     boolean isSlow(StageUpstream upstream, long now) {
-        return upstream.slowness() > slowFrom(now);
+        return upstream.slowness() > slowThreshold(now);
     }
 
     /**
-     * Says whether an upstream of a failure domain is free within a time.
+     * Returns whether an upstream of a failure domain will be free within a given time.
      *
      * @param domain the failure domain
-     * @param nanos  the time
+     * @param nanos  the time in nanoseconds
      * @param now    monotonic time in nanoseconds
      */
-    boolean isSoonFree(String domain, long nanos, long now) {
+    boolean isFreeWithin(String domain, long nanos, long now) {
         return byId.values().stream()
-                .anyMatch(u -> !isAway(u, now)
+                .anyMatch(u -> !isUnavailable(u, now)
                         && isReady(u)
-                        && u.news().failureDomain().equals(domain)
+                        && u.announced().failureDomain().equals(domain)
                         && u.busyNanos(now) < nanos);
     }
 
     /**
-     * Returns how loaded the pool is. Slow upstreams get no calls under load: counted as free, they made waits look shorter
-     * than they were.
+     * Returns the load of the pool. Slow upstreams are left out, since they get no calls under load: counted as free,
+     * they made waits look shorter than they were.
      *
      * @param limits  limits of the pool; empty if they are not known
      * @param waiting pieces that wait
@@ -143,7 +152,7 @@
     PoolLoad load(Optional<BatchLimits> limits, int waiting, long now) {
         List<StageUpstream> usable = usable(now);
         if (limits.isEmpty() || usable.isEmpty()) {
-            return byId.isEmpty() ? PoolLoad.UNKNOWN : new PoolLoad(LONGEST_WAIT_NANOS, 0, 0);
+            return byId.isEmpty() ? PoolLoad.UNKNOWN : new PoolLoad(MAX_WAIT_NANOS, 0, 0);
         }
         long soonest = usable.stream().mapToLong(u -> u.busyNanos(now)).min().orElseThrow();
         BatchLimits each = limits.get();
@@ -154,7 +163,7 @@
     }
 
     /**
-     * Says whether so much waits that it is better made anywhere than where its inputs are.
+     * Returns whether so many pieces wait that any free upstream is better than one near the inputs.
      *
      * @param limits  limits of the pool
      * @param waiting pieces that wait
@@ -165,49 +174,54 @@
     }
 
     /**
-     * Says whether an upstream may get pieces. Where the number of its calls is limited, every other one makes it forget results:
-     * without that its memory would stay full for as long as it keeps them by itself.
+     * Returns whether an upstream may be sent pieces. If its request rate is limited, every other request releases
+     * results; otherwise its memory would stay full until the results expire by themselves.
      */
-    private boolean mayWork(StageUpstream upstream) {
+    private boolean mayRunPieces(StageUpstream upstream) {
         boolean limited = spacingNanos(upstream) > 0;
-        return mayCall(upstream) && !(limited && upstream.shouldFreeFirst());
+        return mayCall(upstream) && !(limited && upstream.mustReleaseFirst());
     }
 
-    private boolean isAway(StageUpstream upstream, long now) {
-        return upstream.isPaused(now) || admission.isBackingOff(upstream.news().id());
+    private boolean isUnavailable(StageUpstream upstream, long now) {
+        return upstream.isPaused(now)
+                || admission.isBackingOff(upstream.announced().id());
     }
 
-    /** Returns how far apart its calls that make pieces are at least. */
+    /** Returns the minimum interval between calls that run pieces. */
     private long spacingNanos(StageUpstream upstream) {
-        return CALLS_A_BATCH * admission.spacingNanos(upstream.news().id());
+        return REQUESTS_PER_CALL * admission.spacingNanos(upstream.announced().id());
     }
 
     private List<StageUpstream> usable(long now) {
-        double slow = slowFrom(now);
+        double threshold = slowThreshold(now);
         return byId.values().stream()
-                .filter(u -> !isAway(u, now) && u.slowness() <= slow && isReady(u))
+                .filter(u -> !isUnavailable(u, now) && u.slowness() <= threshold && isReady(u))
                 .toList();
     }
 
-    /** Returns what is known of an upstream. A restart under the same id has forgotten its results and its calls. */
-    private static StageUpstream known(StageUpstream known, UpstreamRecord news) {
-        if (known == null || known.news().incarnation() != news.incarnation()) {
-            return new StageUpstream(news);
+    /**
+     * Updates the state of an upstream, or starts anew: after a restart under the same id it has lost its results and
+     * calls.
+     */
+    private static StageUpstream update(StageUpstream known, UpstreamRecord announced) {
+        if (known == null || known.announced().incarnation() != announced.incarnation()) {
+            return new StageUpstream(announced);
         }
-        known.news(news);
+        known.announced(announced);
         return known;
     }
 
     /**
-     * Returns the slowness above which an upstream counts as slow beside the fastest that is in use. One that takes as long as
-     * stated never does: answers without results come at once, and beside their upstream all others looked slow.
+     * Returns the slowness above which an upstream counts as slow compared with the fastest one in use. An upstream
+     * that takes as long as stated is never slow: responses without results come at once, and compared with such an
+     * upstream all others looked slow.
      */
-    private double slowFrom(long now) {
+    private double slowThreshold(long now) {
         double fastest = byId.values().stream()
                 .filter(u -> !u.isPaused(now))
                 .mapToDouble(StageUpstream::slowness)
                 .min()
                 .orElse(1);
-        return SLOW * Math.max(1, fastest);
+        return SLOW_FACTOR * Math.max(1, fastest);
     }
 }
--- a/library/src/main/java/org/copperspindle/batch/PoolWork.java
+++ b/library/src/main/java/org/copperspindle/batch/PoolWork.java
@@ -1,17 +1,17 @@
 package org.copperspindle.batch;
 
 /**
- * What the upstreams of a pool did in the calls that one node packed, since it started.
+ * The work that the upstreams of a pool did in calls of one dispatcher since it started.
  *
- * @param busySeconds time in calls, over all upstreams
- * @param pieces      pieces that were made
+ * @param busySeconds total duration of calls over all upstreams
+ * @param pieces      number of pieces that were made
  */
 public record PoolWork(double busySeconds, long pieces) {
 
-    /** No call was packed here. */
+    /** No calls. */
     public static final PoolWork NONE = new PoolWork(0, 0);
 
-    PoolWork and(double seconds, long made) {
+    PoolWork plus(double seconds, long made) {
         return new PoolWork(busySeconds + seconds, pieces + made);
     }
 }
--- a/library/src/main/java/org/copperspindle/batch/ResultHandle.java
+++ b/library/src/main/java/org/copperspindle/batch/ResultHandle.java
@@ -3,8 +3,8 @@
 import java.util.Optional;
 
 /**
- * Handles of stage results. A handle names the result at its maker and begins with the maker's address; the rest is the
- * maker's own.
+ * Handles of stage results. A handle identifies a result at its producer and starts with the producer's address; the
+ * rest is opaque.
  */
 public final class ResultHandle {
 
@@ -13,10 +13,10 @@
     private ResultHandle() {}
 
     /**
-     * Returns where a result was made.
+     * Returns the address of the producer of a result.
      *
      * @param handle the handle
-     * @return IP:PORT of its maker, empty if the handle names none
+     * @return IP:PORT of the producer, empty if the handle has none
      */
     public static Optional<String> producerAddress(String handle) {
         int end = handle.indexOf(SEPARATOR);
--- a/library/src/main/java/org/copperspindle/batch/StageCallResult.java
+++ b/library/src/main/java/org/copperspindle/batch/StageCallResult.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * How a call of a stage upstream ended.
+ * The result of a call to a stage upstream.
  */
 public sealed interface StageCallResult {
 
@@ -15,18 +15,18 @@
     record Answered(List<PieceOutcome> outcomes) implements StageCallResult {}
 
     /**
-     * The upstream did not take the call.
+     * The upstream refused the call; none of its pieces ran.
      *
      * @param reason why
      */
     record NotRun(String reason) implements StageCallResult {}
 
     /**
-     * The call was lost; its pieces may have been made, and their results are forgotten by their maker after a while.
+     * The call was lost. Its pieces may have run; their results expire at the upstream after a while.
      *
      * @param reason         what happened
-     * @param connectionLost true if its connection ended after it was sent, as when the upstream ends; false if no whole
-     *                       answer came in time or over it
+     * @param connectionLost true if the connection was closed after the call was sent, as when the upstream crashes;
+     *                       false if no complete response arrived in time
      */
     record Lost(String reason, boolean connectionLost) implements StageCallResult {}
 }
--- a/library/src/main/java/org/copperspindle/batch/StagePort.java
+++ b/library/src/main/java/org/copperspindle/batch/StagePort.java
@@ -6,26 +6,26 @@
 import org.copperspindle.discovery.UpstreamRecord;
 
 /**
- * Speaks to the upstreams of stage pools.
+ * Sends calls to the upstreams of stage pools.
  */
 public interface StagePort {
 
     /**
      * Sends a call.
      *
-     * @param upstream      who makes the pieces
+     * @param upstream      the upstream that runs the pieces
      * @param items         the pieces
-     * @param timeoutMillis after which the call counts as lost
-     * @param callback      told once how it ended
+     * @param timeoutMillis time after which the call counts as lost
+     * @param callback      called once with the result
      */
     void run(UpstreamRecord upstream, List<StageItem> items, long timeoutMillis, Consumer<StageCallResult> callback);
 
     /**
-     * Gives results up. Their maker forgets them by itself after a while if it does not hear of it.
+     * Releases results. If the release does not arrive, they expire at their producer after a while.
      *
-     * @param upstream who made them
+     * @param upstream the upstream that produced them
      * @param handles  their handles
-     * @param ended    told once the maker has answered, or will not answer any more
+     * @param ended    called once the upstream has answered or is not expected to answer any more
      */
     void free(UpstreamRecord upstream, List<String> handles, Runnable ended);
 }
--- a/library/src/main/java/org/copperspindle/batch/StageUpstream.java
+++ b/library/src/main/java/org/copperspindle/batch/StageUpstream.java
@@ -12,71 +12,81 @@
 import org.copperspindle.route.BatchLimits;
 
 /**
- * What the node that packs the calls knows of one upstream of its pool.
+ * The state of one upstream as seen by the dispatcher of its pool: its calls, speed, pauses and the results that it
+ * holds.
  */
 final class StageUpstream {
 
     /**
-     * Pause of a cold upstream that refused a call, and how often it is told of results that are given up: it bears a few requests
-     * a second, refused ones too.
+     * Pause of a cold upstream that refused a call, and the interval between its releases of results: it can take a
+     * few requests a second, and refused ones count.
      */
     static final long COLD_PAUSE_NANOS = Duration.ofMillis(500).toNanos();
 
-    /** First pause after a lost call, doubled up to {@link #LONGEST_PAUSE_NANOS}: as long as one call takes. */
-    private static final long FIRST_PAUSE_NANOS = 400_000_000L;
+    /**
+     * Pause after the first lost call, doubled with each further one up to {@link #MAX_PAUSE_NANOS}; about the
+     * duration of one call.
+     */
+    private static final long INITIAL_PAUSE_NANOS = 400_000_000L;
 
-    /** An upstream that was slow or dark for long is tried again this often. */
-    private static final long LONGEST_PAUSE_NANOS = 3_200_000_000L;
+    /** Interval in which an upstream that keeps losing calls is tried again. */
+    private static final long MAX_PAUSE_NANOS = 3_200_000_000L;
 
     /**
-     * A call that takes so many times what it should is lost. An upstream whose answers are lost is free meanwhile: with more
-     * patience each such call would keep it idle for seconds, and its requests would be late.
+     * Multiple of the expected duration after which a call counts as lost. An upstream whose responses get lost is
+     * idle meanwhile: with a larger factor each such call would keep it idle for seconds, and the requests would be
+     * late.
      */
-    private static final double PATIENCE = 2.5;
+    private static final double TIMEOUT_FACTOR = 2.5;
 
-    /** Growth of that with each loss in a row: after two, an upstream six times slower answers. */
-    private static final double PATIENCE_GROWTH = 1.6;
+    /**
+     * Growth of the factor with each consecutive loss: after two losses, an upstream that is six times slower answers
+     * in time.
+     */
+    private static final double TIMEOUT_GROWTH = 1.6;
 
-    private static final int MOST_LOSSES = 3;
+    private static final int MAX_COUNTED_LOSSES = 3;
 
-    /** Weight of the newest call in the mean of how much longer than expected calls take. */
+    /** Weight of the latest call in the moving average of the slowness. */
     private static final double SPEED_WEIGHT = 0.4;
 
-    /** Pause before a slow upstream gets its first small call, doubled with each one that was slow again. */
-    private static final long FIRST_TRIAL_NANOS = 400_000_000L;
+    /**
+     * Delay before a slow upstream gets its first probe, a small call; doubled with each probe that was slow again.
+     */
+    private static final long INITIAL_PROBE_DELAY_NANOS = 400_000_000L;
 
-    /** Doublings of that: a slow upstream that stays slow delays one group every 3.2 s. */
-    private static final int MOST_TRIAL_DOUBLINGS = 3;
+    /** Limit of these doublings: an upstream that stays slow delays one group every 3.2 s. */
+    private static final int MAX_PROBE_DELAY_DOUBLINGS = 3;
 
-    /** Part of the memory for results that is filled: their sizes are known approximately only. */
-    private static final double USED_ROOM = 0.98;
+    /** Share of the memory for results that is used, since their sizes are known only approximately. */
+    private static final double USABLE_MEMORY_SHARE = 0.98;
 
     private final Deque<Result> results = new ArrayDeque<>();
-    private final Set<String> toFree = new LinkedHashSet<>();
-    private UpstreamRecord news;
+    private final Set<String> pendingReleases = new LinkedHashSet<>();
+    private UpstreamRecord announced;
     private int calls;
     private int losses;
     private long pausedUntil;
     private long busyUntil;
     private boolean paused;
     private double slowness = 1;
-    private boolean onTrial;
-    private int slowTrials;
-    private long trialFrom;
+    private boolean probing;
+    private int slowProbes;
+    private long nextProbeAt;
     private long resultBytes;
-    private long freedAt = Long.MIN_VALUE / 2;
-    private boolean workedLast;
+    private long releasedAt = Long.MIN_VALUE / 2;
+    private boolean lastCallRanPieces;
 
-    StageUpstream(UpstreamRecord news) {
-        this.news = news;
+    StageUpstream(UpstreamRecord announced) {
+        this.announced = announced;
     }
 
-    UpstreamRecord news() {
-        return news;
+    UpstreamRecord announced() {
+        return announced;
     }
 
-    void news(UpstreamRecord newest) {
-        news = newest;
+    void announced(UpstreamRecord newest) {
+        announced = newest;
     }
 
     boolean isFree(BatchLimits limits, long now) {
@@ -92,89 +102,89 @@
         return calls;
     }
 
-    /** Returns how much longer than expected its calls take; 1 is as expected. */
+    /** Returns the ratio of actual to expected duration of its calls; 1 is as expected. */
     double slowness() {
         return slowness;
     }
 
-    void started(long until) {
+    void onSent(long until) {
         calls++;
         busyUntil = until;
     }
 
-    /** Returns how long its call will still take. */
+    /** Returns the expected time until its call ends. */
     long busyNanos(long now) {
         return calls == 0 ? 0 : Math.max(0, busyUntil - now);
     }
 
-    void answered(long expectedNanos, long tookNanos) {
+    void onAnswered(long expectedNanos, long tookNanos) {
         calls--;
-        double seen = (double) tookNanos / expectedNanos;
-        // What was known of an upstream that was left alone is old by then.
-        slowness = onTrial ? seen : slowness + SPEED_WEIGHT * (seen - slowness);
-        onTrial = false;
+        double measured = (double) tookNanos / expectedNanos;
+        // The average of an upstream that was skipped for a while is outdated: a probe replaces it.
+        slowness = probing ? measured : slowness + SPEED_WEIGHT * (measured - slowness);
+        probing = false;
     }
 
-    /** Notes that a call is over that shows nothing of the upstream. */
-    void ended() {
+    /** Records the end of a call that says nothing about the upstream. */
+    void onInconclusiveEnd() {
         calls--;
-        onTrial = false;
+        probing = false;
     }
 
-    /** Notes that its next call shows whether it is still slow. */
-    void tried() {
-        onTrial = true;
+    /** Marks the next call as a probe that shows whether the upstream is still slow. */
+    void startProbe() {
+        probing = true;
     }
 
     /**
-     * Notes after a call whether it is slow, and leaves it alone for a while if so.
+     * Records after a call whether the upstream is slow, and delays the next probe if so.
      *
-     * @return true if that has changed
+     * @return true if this has changed
      */
-    boolean found(boolean slow, long now) {
-        boolean changed = slow != slowTrials > 0;
-        trialFrom = now + (FIRST_TRIAL_NANOS << Math.min(slowTrials, MOST_TRIAL_DOUBLINGS));
-        slowTrials = slow ? slowTrials + 1 : 0;
+    boolean recordSpeed(boolean slow, long now) {
+        boolean changed = slow != slowProbes > 0;
+        nextProbeAt = now + (INITIAL_PROBE_DELAY_NANOS << Math.min(slowProbes, MAX_PROBE_DELAY_DOUBLINGS));
+        slowProbes = slow ? slowProbes + 1 : 0;
         return changed;
     }
 
-    /** Says whether a slow upstream may get a small call to show that it is sound again. */
-    boolean isTrialDue(long now) {
-        return now - trialFrom >= 0;
+    /** Returns whether a slow upstream may get a probe to show that it has recovered. */
+    boolean isProbeDue(long now) {
+        return now - nextProbeAt >= 0;
     }
 
     /**
-     * Returns after how long a call is lost that is expected to take some time. Each loss in a row gives the next call more: an
-     * upstream that has turned slow answers one at last, and is known for slow from there on.
+     * Returns the timeout of a call with a given expected duration. Each consecutive loss lengthens it, so that an
+     * upstream that has turned slow eventually answers in time and is known to be slow from then on.
      */
-    long patienceNanos(long expectedNanos) {
-        int inARow = Math.min(MOST_LOSSES, losses);
-        return (long) (expectedNanos * PATIENCE * Math.max(1, slowness) * Math.pow(PATIENCE_GROWTH, inARow));
+    long timeoutNanos(long expectedNanos) {
+        int consecutive = Math.min(MAX_COUNTED_LOSSES, losses);
+        return (long) (expectedNanos * TIMEOUT_FACTOR * Math.max(1, slowness) * Math.pow(TIMEOUT_GROWTH, consecutive));
     }
 
-    /** Leaves the upstream alone for a while after a call that it lost. */
-    long lost(long now) {
+    /** Records a lost call and pauses the upstream. */
+    long onLost(long now) {
         calls--;
-        onTrial = false;
-        return failing(now);
+        probing = false;
+        return backOff(now);
     }
 
-    /** Leaves the upstream alone for a while after a call whose pieces mostly failed. */
-    long failing(long now) {
-        long pause = Math.min(LONGEST_PAUSE_NANOS, FIRST_PAUSE_NANOS << Math.min(losses, 3));
+    /** Pauses the upstream after a call that was lost or whose pieces mostly failed; returns the pause. */
+    long backOff(long now) {
+        long pause = Math.min(MAX_PAUSE_NANOS, INITIAL_PAUSE_NANOS << Math.min(losses, 3));
         losses++;
         pause(now, pause);
         return pause;
     }
 
-    /** Notes that a call gave results. */
+    /** Records that a call produced results. */
     void recordSuccess() {
         losses = 0;
     }
 
-    void notRun(long now, long pauseNanos) {
+    void onRefused(long now, long pauseNanos) {
         calls--;
-        onTrial = false;
+        probing = false;
         pause(now, pauseNanos);
     }
 
@@ -183,71 +193,71 @@
         pausedUntil = now + nanos;
     }
 
-    void holds(WaitingGroup group, String handle, long bytes, long until) {
-        results.addLast(new Result(group, handle, bytes, until));
+    void addResult(WaitingGroup group, String handle, long bytes, long expiresAt) {
+        results.addLast(new Result(group, handle, bytes, expiresAt));
         resultBytes += bytes;
     }
 
-    /** Returns the results that were made for some groups and not given up yet. */
-    List<String> madeFor(Predicate<WaitingGroup> groups) {
+    /** Returns the results that were made for matching groups and are not released yet. */
+    List<String> resultsOf(Predicate<WaitingGroup> groups) {
         return results.stream()
                 .filter(result -> groups.test(result.group()))
                 .map(Result::handle)
                 .toList();
     }
 
-    long roomLeft(BatchLimits limits, long now) {
-        while (!results.isEmpty() && now - results.peekFirst().until() >= 0) {
+    long freeMemory(BatchLimits limits, long now) {
+        while (!results.isEmpty() && now - results.peekFirst().expiresAt() >= 0) {
             resultBytes -= results.pollFirst().bytes();
         }
-        return (long) (limits.resultBytes() * USED_ROOM) - resultBytes;
+        return (long) (limits.resultBytes() * USABLE_MEMORY_SHARE) - resultBytes;
     }
 
-    void free(String handle) {
-        toFree.add(handle);
+    void addRelease(String handle) {
+        pendingReleases.add(handle);
     }
 
-    /** Says whether a cold upstream may be told of results again, or has none to be told of. */
-    boolean mayFreeWhileCold(long now) {
-        return !hasFreed() || now - freedAt >= COLD_PAUSE_NANOS;
+    /** Returns whether a cold upstream may be sent releases again, or has none to be sent. */
+    boolean mayReleaseWhileCold(long now) {
+        return !hasPendingReleases() || now - releasedAt >= COLD_PAUSE_NANOS;
     }
 
-    /** Notes that it gets a call that makes pieces. */
-    void worked() {
-        workedLast = true;
+    /** Records that it was sent a call that runs pieces. */
+    void markWorked() {
+        lastCallRanPieces = true;
     }
 
-    /** Says whether it has results to be told of. */
-    boolean hasFreed() {
-        return !toFree.isEmpty();
+    /** Returns whether there are releases to send to it. */
+    boolean hasPendingReleases() {
+        return !pendingReleases.isEmpty();
     }
 
-    /** Says whether it is to be told of given up results before it gets another call. */
-    boolean shouldFreeFirst() {
-        return workedLast && hasFreed();
+    /** Returns whether it must be sent releases before it gets another call. */
+    boolean mustReleaseFirst() {
+        return lastCallRanPieces && hasPendingReleases();
     }
 
-    /** Takes the results to give up now. */
-    List<String> takeFreed(long now) {
-        List<String> freed = List.copyOf(toFree);
-        toFree.clear();
-        freedAt = freed.isEmpty() ? freedAt : now;
-        workedLast &= freed.isEmpty();
-        return freed;
+    /** Takes the results to release now. */
+    List<String> takePendingReleases(long now) {
+        List<String> taken = List.copyOf(pendingReleases);
+        pendingReleases.clear();
+        releasedAt = taken.isEmpty() ? releasedAt : now;
+        lastCallRanPieces &= taken.isEmpty();
+        return taken;
     }
 
     /**
-     * Notes that results are gone from the upstream's memory. Counted as free when they are given up, the next call would
-     * overtake that on another connection and find the memory full.
+     * Records that the upstream has released results. Their memory counts as free only now: if it did so when the
+     * release is sent, the next call could overtake the release on another connection and find the memory full.
      */
-    void freed(List<String> handles) {
-        Set<String> gone = Set.copyOf(handles);
+    void onReleased(List<String> handles) {
+        Set<String> released = Set.copyOf(handles);
         results.removeIf(result -> {
-            boolean given = gone.contains(result.handle());
-            resultBytes -= given ? result.bytes() : 0;
-            return given;
+            boolean isReleased = released.contains(result.handle());
+            resultBytes -= isReleased ? result.bytes() : 0;
+            return isReleased;
         });
     }
 
-    private record Result(WaitingGroup group, String handle, long bytes, long until) {}
+    private record Result(WaitingGroup group, String handle, long bytes, long expiresAt) {}
 }
--- a/library/src/main/java/org/copperspindle/batch/WaitingGroup.java
+++ b/library/src/main/java/org/copperspindle/batch/WaitingGroup.java
@@ -6,26 +6,27 @@
 import org.copperspindle.route.BatchLimits;
 
 /**
- * A group at the node that packs the calls.
+ * A group of pieces at the dispatcher of its pool.
  */
 final class WaitingGroup {
 
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
     /**
-     * What a group reads or makes below this costs less to move than a wait costs its request. With a larger bound a large result
-     * by itself, and a small group of pieces that each read much, would wait for nobody and cross failure domains.
+     * Minimum size of the inputs or results for which a group waits for a near upstream: moving less costs less than
+     * a wait costs the request. With a larger bound, a single large result, or a small group of pieces with large
+     * inputs, would not wait and would cross failure domains.
      */
-    private static final long LARGE_BYTES = 250_000L;
+    private static final long MIN_NEAR_BYTES = 250_000L;
 
-    /** Lot of groups that share calls with each other freely. */
-    private static final long ANY_LOT = 0;
+    /** Partition of groups that share calls with each other without restriction. */
+    private static final long NO_PARTITION = 0;
 
-    /** Part of the spare time that is risked on a near upstream. */
-    private static final double NEAR_SHARE = 0.5;
+    /** Share of the spare time that a group may wait for a near upstream. */
+    private static final double NEAR_WAIT_SHARE = 0.5;
 
-    /** Full calls that may be waited for: the one that runs at the near upstream is over by then. */
-    private static final double LONGEST_NEAR_CALLS = 1.5;
+    /** Longest wait for a near upstream, in durations of a full call: the call that runs there has ended by then. */
+    private static final double MAX_NEAR_WAIT_CALLS = 1.5;
 
     private final String origin;
     private final PieceGroup group;
@@ -34,10 +35,10 @@
     private final long deadline;
     private final List<Integer> missing;
     private int losses;
-    private long lot = ANY_LOT;
+    private long partition = NO_PARTITION;
     private long sentAt;
     private boolean cancelled;
-    private boolean inputsGivenUp;
+    private boolean inputsReleased;
 
     WaitingGroup(String origin, PieceGroup group, long now) {
         this.origin = origin;
@@ -68,42 +69,42 @@
         return slackUntil;
     }
 
-    /** Returns the size of what the pieces that are still to be made fetch: each of them fetches all inputs. */
+    /** Returns the size of the inputs that the missing pieces fetch: each of them fetches all inputs. */
     long fetchedBytes() {
         return group.inputBytes() * missing.size();
     }
 
-    /** Returns the size of the results that are still to be made. */
+    /** Returns the size of the results of the missing pieces. */
     long resultBytes() {
         return group.resultBytes() * missing.size();
     }
 
-    /** Says whether more is moved to the reader of the results than from the makers of the inputs. */
-    boolean isDrawnToReader() {
+    /** Returns whether more bytes go to the reader of the results than come from the producers of the inputs. */
+    boolean prefersReaderDomain() {
         return !group.readerDomain().isEmpty() && resultBytes() >= fetchedBytes();
     }
 
     /**
-     * Returns how long the group may wait for an upstream in the failure domain where its inputs are, or its results will be
-     * read.
+     * Returns how long the group may wait for an upstream in the failure domain where its inputs are or where its
+     * results will be read.
      *
      * @param limits limits of the pool
      */
-    long nearWaitNanos(BatchLimits limits) {
-        if ((isDrawnToReader() ? resultBytes() : fetchedBytes()) < LARGE_BYTES) {
+    long maxNearWaitNanos(BatchLimits limits) {
+        if ((prefersReaderDomain() ? resultBytes() : fetchedBytes()) < MIN_NEAR_BYTES) {
             return 0;
         }
         long spare = slackUntil - arrivedAt - limits.expectedNanos(missing.size());
-        long longest = (long) (LONGEST_NEAR_CALLS * limits.fullCallNanos());
-        return Math.max(0, Math.min(longest, (long) (spare * NEAR_SHARE)));
+        long longest = (long) (MAX_NEAR_WAIT_CALLS * limits.fullCallNanos());
+        return Math.max(0, Math.min(longest, (long) (spare * NEAR_WAIT_SHARE)));
     }
 
-    /** Says whether the pieces can be made soon enough for the request's objective, if they take so long from now. */
+    /** Returns whether the request can meet its objective if the pieces take a given time from now. */
     boolean isOnTime(long now, long nanos) {
         return now + nanos - slackUntil <= 0;
     }
 
-    boolean isOver(long now) {
+    boolean isExpired(long now) {
         return now - deadline >= 0;
     }
 
@@ -115,49 +116,52 @@
         cancelled = true;
     }
 
-    /** Notes that pieces of the group go out in a call. */
-    void sent(long now) {
+    /** Records that pieces of the group are sent in a call. */
+    void markSent(long now) {
         sentAt = now;
     }
 
-    /** Says whether all pieces have been in a call for so long that their maker has fetched the inputs. */
-    boolean hasFetched(long now, long fetchNanos) {
+    /** Returns whether all pieces have been sent, and long enough ago that the upstreams have fetched the inputs. */
+    boolean hasFetchedInputs(long now, long fetchNanos) {
         return missing.isEmpty() && now - sentAt >= fetchNanos;
     }
 
-    /** Takes the inputs to give up, once; empty if others read them too. */
+    /** Takes the inputs to release, once; empty if others read them too. */
     List<String> takeInputs() {
-        if (inputsGivenUp || !group.ownsInputs()) {
+        if (inputsReleased || !group.ownsInputs()) {
             return List.of();
         }
-        inputsGivenUp = true;
+        inputsReleased = true;
         return group.inputs();
     }
 
-    /** Says whether a piece could still be made again. */
+    /** Returns whether the inputs still exist, so that a piece can be run again. */
     boolean hasInputs() {
-        return !inputsGivenUp;
+        return !inputsReleased;
     }
 
     boolean isCancelled() {
         return cancelled;
     }
 
-    /** Has the group share calls with groups of one lot only, of which one may have ended an upstream. */
-    void part(long number) {
-        lot = number;
+    /**
+     * Restricts the group to share calls only with groups of one partition, one of which may have crashed an
+     * upstream.
+     */
+    void assignPartition(long number) {
+        partition = number;
     }
 
-    boolean isParted() {
-        return lot != ANY_LOT;
+    boolean isPartitioned() {
+        return partition != NO_PARTITION;
     }
 
     boolean sharesCallsWith(WaitingGroup other) {
-        return lot == other.lot;
+        return partition == other.partition;
     }
 
-    /** Counts a loss and returns how many there were. */
-    int lost() {
+    /** Counts a lost call and returns the number of losses. */
+    int recordLoss() {
         return ++losses;
     }
 }
--- a/library/src/main/java/org/copperspindle/batch/package-info.java
+++ b/library/src/main/java/org/copperspindle/batch/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Stage work in pieces. Pieces of all nodes that go to the same pool meet at one node, which packs them into calls: a
- * call has a fixed cost that dwarfs the cost of a piece, so that calls made by each node for itself would waste most of
- * a pool.
+ * Batching of stage work. The pieces that all nodes have for a pool are collected at one node, the dispatcher of the
+ * pool, which batches them into calls. A call has a fixed cost that is much higher than the cost of a piece, so
+ * separate calls by each node would waste most of the pool's capacity.
  */
 package org.copperspindle.batch;
--- a/library/src/test/java/org/copperspindle/batch/BatchServiceTest.java
+++ b/library/src/test/java/org/copperspindle/batch/BatchServiceTest.java
@@ -33,7 +33,7 @@
 
     private static final long MILLI = 1_000_000L;
     private static final String SELF = "127.0.0.1:1";
-    private static final String PACKER = "127.0.0.1:2";
+    private static final String DISPATCHER = "127.0.0.1:2";
     private static final String OTHER = "127.0.0.1:3";
     private static final BatchLimits LIMITS = TestRoutes.batch(8);
 
@@ -49,7 +49,7 @@
     private final InetSocketAddress listen = new InetSocketAddress("127.0.0.1", 1);
     private final NodeMesh mesh = new NodeMesh(
             new MeshSettings(listen, listen, "127.0.0.1:9", "d", false, List.of()), transport, time, () -> hello(0));
-    private final FakePeer packer = new FakePeer(PACKER);
+    private final FakePeer dispatcher = new FakePeer(DISPATCHER);
     private final FakePeer other = new FakePeer(OTHER);
     private final List<PieceResult> results = new ArrayList<>();
     private final BatchService service = service();
@@ -60,68 +60,70 @@
     }
 
     /**
-     * A node is killed and back at once, while a call for its old life still runs. The result of that call must not be taken
-     * for one of the new life's first groups: the request would get a piece of another one.
+     * A node is killed and restarts at once while a call for its old incarnation still runs. The result of that call
+     * must not be accepted for one of the first groups of the new incarnation: the request would get a piece of
+     * another request.
      */
     @Test
-    void groupsOfTwoLivesHaveDifferentNumbers() {
+    void groupIdsDifferBetweenIncarnations() {
         assertThat(service.nextId()).isNotEqualTo(service().nextId());
     }
 
     /**
-     * This node and the one that packs lose each other, as when the control group is split; another node still reaches both.
-     * The group goes to the same packer through that node, and its results are taken: two packers would fill the upstreams
-     * with each other's calls.
+     * This node and the dispatcher lose their connection, as when the control group is split; another node still
+     * reaches both. The group goes to the same dispatcher through that node, and its results are accepted. Two
+     * dispatchers would each find the upstreams busy with the calls of the other.
      */
     @Test
-    void packerThatOthersReachGoesOnPacking() {
+    void dispatcherThatIsReachableThroughOthersIsKept() {
         service.start();
-        connect(packer, 2, List.of(OTHER));
-        connect(other, 1, List.of(PACKER));
-        mesh.onClose(packer);
+        connect(dispatcher, 2, List.of(OTHER));
+        connect(other, 1, List.of(DISPATCHER));
+        mesh.onClose(dispatcher);
         PieceGroup group = group();
         service.submit(group, results::addAll);
         assertThat(other.sent(RelayMessage.class))
-                .filteredOn(m -> m.to().equals(PACKER))
+                .filteredOn(m -> m.to().equals(DISPATCHER))
                 .hasSize(1);
         PieceResult made = new PieceResult(0, new PieceOutcome.Made("10.0.0.1:1/a"));
-        byte[] answer = registry.encode(new PieceResultsMessage(group.id(), List.of(made)));
-        mesh.onMessage(other, new RelayMessage(PACKER, SELF, answer));
+        byte[] response = registry.encode(new PieceResultsMessage(group.id(), List.of(made)));
+        mesh.onMessage(other, new RelayMessage(DISPATCHER, SELF, response));
         assertThat(results).containsExactly(made);
     }
 
-    /** The packer dies for all: what waits at it goes to the next node, once nobody sees it any more. */
+    /** The dispatcher crashes: its waiting groups go to the next node once no node reaches it any more. */
     @Test
-    void groupsOfALostPackerGoToTheNext() {
+    void groupsOfALostDispatcherGoToTheNext() {
         service.start();
-        connect(packer, 2, List.of(OTHER));
-        connect(other, 1, List.of(PACKER));
+        connect(dispatcher, 2, List.of(OTHER));
+        connect(other, 1, List.of(DISPATCHER));
         service.submit(group(), results::addAll);
-        assertThat(packer.sent(PieceGroup.class)).hasSize(1);
-        mesh.onClose(packer);
+        assertThat(dispatcher.sent(PieceGroup.class)).hasSize(1);
+        mesh.onClose(dispatcher);
         mesh.onMessage(other, new NodeListMessage(List.of()));
         time.advance(100 * MILLI);
         assertThat(other.sent(PieceGroup.class)).hasSize(1);
     }
 
     /**
-     * This node packs and stands still for longer than others take to find it dead. What it was to make for them is made elsewhere
-     * by then: made here as well, it would take the pool just when work has piled up. What its own callers wait for stays.
+     * This node is the dispatcher and is paused for longer than others take to consider it dead. Their groups are
+     * dispatched elsewhere by then; dispatched here as well, they would occupy the pool just when a backlog has built
+     * up. The groups of its own callers are kept.
      */
     @ParameterizedTest
     @CsvSource({"3000, 1", "900, 2"})
-    void dropsGroupsOfOthersAfterAStandstill(long stoodMillis, int groupsLeft) {
-        StandingClock clock = new StandingClock(time);
-        BatchService packing = service(clock);
-        packing.start();
+    void dropsGroupsOfOthersAfterALongPause(long pauseMillis, int groupsLeft) {
+        PausableClock clock = new PausableClock(time);
+        BatchService dispatching = service(clock);
+        dispatching.start();
         connect(other, -1, List.of());
         mesh.onMessage(other, group());
-        packing.submit(group(), results::addAll);
+        dispatching.submit(group(), results::addAll);
         time.advance(200 * MILLI);
-        assertThat(packing.waitingPieces()).isEqualTo(2);
-        clock.standStill(stoodMillis);
+        assertThat(dispatching.waitingPieces()).isEqualTo(2);
+        clock.pause(pauseMillis);
         time.advance(200 * MILLI);
-        assertThat(packing.waitingPieces()).isEqualTo(groupsLeft);
+        assertThat(dispatching.waitingPieces()).isEqualTo(groupsLeft);
     }
 
     private BatchService service() {
@@ -136,7 +138,7 @@
                 new UpstreamDirectory(),
                 new FakeStagePort(time, LIMITS),
                 pool -> Optional.of(LIMITS),
-                new SmallNode(),
+                new LowFitnessNode(),
                 new DecisionLog(0, 0));
         relay.listener(made);
         mesh.subscribe(relay);
@@ -159,22 +161,22 @@
         return new NodeHelloMessage("127.0.0.1:9", "d", false, true, false, 0, "", 0, fitness);
     }
 
-    /** A clock that went on while nothing ran. */
-    private static final class StandingClock implements TimerService {
+    /** A clock that can jump ahead, as after a pause of the process. */
+    private static final class PausableClock implements TimerService {
         private final VirtualTimerService time;
-        private long stoodNanos;
+        private long pausedNanos;
 
-        private StandingClock(VirtualTimerService time) {
+        private PausableClock(VirtualTimerService time) {
             this.time = time;
         }
 
-        private void standStill(long millis) {
-            stoodNanos += millis * MILLI;
+        private void pause(long millis) {
+            pausedNanos += millis * MILLI;
         }
 
         @Override
         public long nanoTime() {
-            return time.nanoTime() + stoodNanos;
+            return time.nanoTime() + pausedNanos;
         }
 
         @Override
@@ -183,8 +185,8 @@
         }
     }
 
-    /** A node that serves and should not pack while there are others. */
-    private static final class SmallNode implements DispatcherStatus {
+    /** A serving node that should not be the dispatcher while there are others. */
+    private static final class LowFitnessNode implements DispatcherStatus {
         @Override
         public boolean isServing() {
             return true;
--- a/library/src/test/java/org/copperspindle/batch/ExpectedPiecesTest.java
+++ b/library/src/test/java/org/copperspindle/batch/ExpectedPiecesTest.java
@@ -10,32 +10,32 @@
 
     private static final long MILLI = 1_000_000L;
 
-    private final ExpectedPieces promises = new ExpectedPieces();
+    private final ExpectedPieces expected = new ExpectedPieces();
 
     @Test
-    void tellsWhatHasChanged() {
-        promises.add("p", 8);
-        assertThat(promises.untold("p")).isEqualTo(8);
-        assertThat(promises.tell(false)).isEqualTo(Map.of("p", 8L));
-        assertThat(promises.untold("p")).isZero();
-        assertThat(promises.tell(false)).isEmpty();
-        assertThat(promises.tell(true)).isEqualTo(Map.of("p", 8L));
-        promises.add("p", -8);
-        assertThat(promises.tell(false)).isEqualTo(Map.of("p", 0L));
-        assertThat(promises.tell(true)).isEmpty();
+    void updatesContainChangedCounts() {
+        expected.add("p", 8);
+        assertThat(expected.unsent("p")).isEqualTo(8);
+        assertThat(expected.takeUpdates(false)).isEqualTo(Map.of("p", 8L));
+        assertThat(expected.unsent("p")).isZero();
+        assertThat(expected.takeUpdates(false)).isEmpty();
+        assertThat(expected.takeUpdates(true)).isEqualTo(Map.of("p", 8L));
+        expected.add("p", -8);
+        assertThat(expected.takeUpdates(false)).isEqualTo(Map.of("p", 0L));
+        assertThat(expected.takeUpdates(true)).isEmpty();
     }
 
     /**
-     * A node has promised pieces and dies, or its connection is lost: nobody takes the promise back, and requests must not
-     * be held up by it for ever.
+     * A node has announced pieces and crashes, or its connection is lost. Nobody withdraws the count, and it must not
+     * delay requests forever.
      */
     @Test
-    void promisesOfANodeThatIsGoneAreForgotten() {
-        promises.heard("a", "p", 40, 0);
-        promises.heard("b", "p", 8, 0);
-        assertThat(promises.total("p", 0)).isEqualTo(48);
-        promises.forget("a");
-        assertThat(promises.total("p", 0)).isEqualTo(8);
-        assertThat(promises.total("p", 1501 * MILLI)).isZero();
+    void countsOfALostNodeAreForgotten() {
+        expected.onUpdate("a", "p", 40, 0);
+        expected.onUpdate("b", "p", 8, 0);
+        assertThat(expected.total("p", 0)).isEqualTo(48);
+        expected.forget("a");
+        assertThat(expected.total("p", 0)).isEqualTo(8);
+        assertThat(expected.total("p", 1501 * MILLI)).isZero();
     }
 }
--- a/library/src/test/java/org/copperspindle/batch/FakeStagePort.java
+++ b/library/src/test/java/org/copperspindle/batch/FakeStagePort.java
@@ -11,7 +11,7 @@
 import org.copperspindle.time.VirtualTimerService;
 
 /**
- * Stage upstreams in virtual time: each runs one call after the other, in the time that its limits state.
+ * Simulates stage upstreams in virtual time: each runs one call after another, in the time that the limits state.
  */
 final class FakeStagePort implements StagePort {
 
@@ -20,7 +20,7 @@
     final List<Call> calls = new ArrayList<>();
     final List<String> freed = new ArrayList<>();
     int freeCalls;
-    final Map<String, Conduct> conduct = new HashMap<>();
+    final Map<String, Behavior> behaviors = new HashMap<>();
     private final Map<String, Long> busyUntil = new HashMap<>();
     private final Map<String, Integer> queued = new HashMap<>();
     private final VirtualTimerService time;
@@ -28,11 +28,11 @@
     private int made;
     long freeNanos = NANOS_PER_MILLI;
 
-    /** Request whose pieces end each upstream that makes them. */
+    /** Id of the request whose pieces crash each upstream that runs them. */
     String fatal = "";
 
-    /** Answers are not read before this instant: the process stands still. */
-    long standsStillUntil;
+    /** Responses are not read before this instant, as in a pause of the process. */
+    long pausedUntil;
 
     FakeStagePort(VirtualTimerService time, BatchLimits limits) {
         this.time = time;
@@ -44,8 +44,8 @@
             UpstreamRecord upstream, List<StageItem> items, long timeoutMillis, Consumer<StageCallResult> callback) {
         String id = upstream.id();
         calls.add(new Call(id, items, time.nanoTime()));
-        Conduct how = conduct.getOrDefault(id, Conduct.SOUND);
-        if (how == Conduct.DARK) {
+        Behavior behavior = behaviors.getOrDefault(id, Behavior.SOUND);
+        if (behavior == Behavior.UNRESPONSIVE) {
             time.schedule(
                     timeoutMillis * NANOS_PER_MILLI, () -> callback.accept(new StageCallResult.Lost("timeout", false)));
             return;
@@ -56,18 +56,18 @@
                     () -> callback.accept(new StageCallResult.Lost("connection-closed", true)));
             return;
         }
-        if (how == Conduct.REFUSING || queued.getOrDefault(id, 0) > limits.maxQueuedCalls()) {
+        if (behavior == Behavior.REFUSING || queued.getOrDefault(id, 0) > limits.maxQueuedCalls()) {
             time.schedule(NANOS_PER_MILLI, () -> callback.accept(new StageCallResult.NotRun("full")));
             return;
         }
         queued.merge(id, 1, Integer::sum);
         long begin = Math.max(time.nanoTime(), busyUntil.getOrDefault(id, 0L));
-        long end = begin + limits.expectedNanos(items.size()) * (how == Conduct.SLOW ? 5 : 1);
+        long end = begin + limits.expectedNanos(items.size()) * (behavior == Behavior.SLOW ? 5 : 1);
         busyUntil.put(id, end);
-        time.schedule(Math.max(end, standsStillUntil) - time.nanoTime(), () -> {
+        time.schedule(Math.max(end, pausedUntil) - time.nanoTime(), () -> {
             queued.merge(id, -1, Integer::sum);
             callback.accept(new StageCallResult.Answered(
-                    items.stream().map(item -> outcome(upstream, how)).toList()));
+                    items.stream().map(item -> outcome(upstream, behavior)).toList()));
         });
     }
 
@@ -78,8 +78,8 @@
         time.schedule(freeNanos, ended);
     }
 
-    private PieceOutcome outcome(UpstreamRecord upstream, Conduct how) {
-        return switch (how) {
+    private PieceOutcome outcome(UpstreamRecord upstream, Behavior behavior) {
+        return switch (behavior) {
             case WITHOUT_ROOM -> new PieceOutcome.Missed(MissReason.NO_ROOM);
             case FAILING -> new PieceOutcome.Missed(MissReason.FAILED);
             case WITHOUT_INPUT -> new PieceOutcome.Missed(MissReason.INPUT_GONE);
@@ -87,11 +87,11 @@
         };
     }
 
-    /** What an upstream does. */
-    enum Conduct {
+    /** How an upstream behaves; an UNRESPONSIVE one never answers. */
+    enum Behavior {
         SOUND,
         SLOW,
-        DARK,
+        UNRESPONSIVE,
         FAILING,
         WITHOUT_ROOM,
         REFUSING,
@@ -99,5 +99,5 @@
     }
 
     /** A call that was sent. */
-    record Call(String upstream, List<StageItem> items, long at) {}
+    record Call(String upstream, List<StageItem> items, long sentAt) {}
 }
--- a/library/src/test/java/org/copperspindle/batch/FetchTimeEstimatorTest.java
+++ b/library/src/test/java/org/copperspindle/batch/FetchTimeEstimatorTest.java
@@ -15,7 +15,7 @@
 
     private final FetchTimeEstimator time = new FetchTimeEstimator();
 
-    /** Over 10 Gbit/s shared by three, a megabyte takes 2.4 ms. */
+    /** Over a 10 Gbit/s link shared by three transfers, a megabyte takes 2.4 ms. */
     @ParameterizedTest
     @CsvSource({"0, 25", "1000000, 27", "20000000, 73"})
     void followsFromSizesAndLink(long bytes, long millis) {
@@ -23,11 +23,11 @@
     }
 
     /**
-     * A link loses packets, and results are given up before they were fetched: stages are made again, and their requests are
-     * late. The next results are kept for longer, and only for a while after the link is sound again.
+     * A link loses packets and results are released before they were fetched: stages run again and their requests are
+     * late. The next results are retained for longer, until some time after the link has recovered.
      */
     @Test
-    void isLongerAfterResultsWereMissed() {
+    void growsAfterResultsWereMissed() {
         time.recordEarlyRelease();
         assertThat(time.nanos(LIMITS, 0)).isEqualTo(50 * MILLI);
         for (int i = 0; i < 10; i++) {
--- a/library/src/test/java/org/copperspindle/batch/LimitedStageTest.java
+++ b/library/src/test/java/org/copperspindle/batch/LimitedStageTest.java
@@ -16,7 +16,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Two upstreams of a stage pool under more load than both can bear; one of them takes one request a second, whatever it is.
+ * Two upstreams of a stage pool under more load than they can take; one of them accepts one request of any kind per
+ * second.
  */
 class LimitedStageTest {
 
@@ -29,14 +30,14 @@
     private final VirtualTimerService time = new VirtualTimerService();
     private final UpstreamDirectory directory = new UpstreamDirectory();
     private final FakeStagePort port = new FakeStagePort(time, LIMITS);
-    private final OneASecond admission = new OneASecond();
+    private final OncePerSecond admission = new OncePerSecond();
     private final PoolDispatcher dispatcher = new PoolDispatcher(
                     "p",
                     directory,
                     time,
                     port,
                     () -> Optional.of(LIMITS),
-                    new RecordingSink(this::giveUp),
+                    new RecordingSink(this::release),
                     new DecisionLog(0, 0))
             .limitCallsWith(admission);
     private long lastId;
@@ -46,9 +47,12 @@
         upstream("free", "10.0.0.2:1");
     }
 
-    /** Guards against given up results that go out beside the limit, and against a memory that stays full because none do. */
+    /**
+     * Guards against releases of results that are sent in excess of the limit, and against memory that stays full
+     * because none are sent.
+     */
     @Test
-    void callsAndGivenUpResultsShareTheLimit() {
+    void callsAndReleasesShareTheLimit() {
         for (int i = 0; i < 20_000 / GROUP_GAP_MILLIS; i++) {
             dispatcher.add("origin", group());
             time.advance(GROUP_GAP_MILLIS * MILLI);
@@ -58,21 +62,21 @@
                 .count();
         assertThat(admission.refused).as("sent although nothing was free").isZero();
         assertThat(calls).isBetween(9L, 11L);
-        assertThat(admission.passed - calls).as("told of given up results").isBetween(8L, 11L);
+        assertThat(admission.admitted - calls).as("releases of results").isBetween(8L, 11L);
         assertThat(port.calls.size() - calls).as("calls of the other").isGreaterThan(30);
     }
 
-    /** Guards against a pool that looks as if its limited upstream made as much as the others. */
+    /** Guards against a load that counts a rate-limited upstream with the full throughput of the others. */
     @Test
-    void loadCountsALimitedUpstreamForWhatItMakes() {
+    void loadAccountsForTheLimitOfAnUpstream() {
         dispatcher.add("origin", group());
         double both = dispatcher.load().piecesPerSecond();
         admission.limits = false;
         assertThat(both).isLessThan(0.8 * dispatcher.load().piecesPerSecond());
     }
 
-    /** Nobody needs the results any longer than it takes to make them. */
-    private void giveUp(PieceResultsMessage message) {
+    /** Releases all results as soon as they are made. */
+    private void release(PieceResultsMessage message) {
         List<String> handles = new ArrayList<>();
         message.results().forEach(result -> {
             if (result.outcome() instanceof PieceOutcome.Made made) {
@@ -91,10 +95,10 @@
         return TestGroups.ofEight(++lastId);
     }
 
-    /** Lets one request a second pass to one upstream. */
-    private final class OneASecond implements CallAdmission {
+    /** Admits one request per second to one upstream. */
+    private final class OncePerSecond implements CallAdmission {
         private long lastAt = -SECOND;
-        private int passed;
+        private int admitted;
         private int refused;
         private boolean limits = true;
 
@@ -109,7 +113,7 @@
                 return;
             }
             refused += mayCall(upstream) ? 0 : 1;
-            passed++;
+            admitted++;
             lastAt = time.nanoTime();
         }
 
--- a/library/src/test/java/org/copperspindle/batch/PieceQueueTest.java
+++ b/library/src/test/java/org/copperspindle/batch/PieceQueueTest.java
@@ -17,7 +17,7 @@
 
     private final PieceQueue queue = new PieceQueue();
 
-    /** In a burst a request that is late already must not take the turn of one that can still be on time. */
+    /** In a burst, a request that is already late must not go before one that can still be on time. */
     @ParameterizedTest
     @CsvSource({"800, 4, 900, 4, 1", "900, 4, 800, 4, 2", "-100, 0, 900, 8, 2", "900, 3, 880, 5, 1", "900, 3, 500, 5, 2"
     })
@@ -28,8 +28,9 @@
     }
 
     /**
-     * More waits than a call has places for. It goes full, by urgency, and the rest of the group that is split goes first with
-     * the next one: waiting whole, it would go no sooner, and the places would be lost just when the pool is short.
+     * More pieces wait than fit into a call. It is filled by urgency, and the rest of the split group goes first into
+     * the next one. Kept whole, the group would not go any sooner, and the places would be wasted just when the pool
+     * is short of capacity.
      */
     @Test
     void callIsFullWhileMoreWaits() {
@@ -47,9 +48,9 @@
     }
 
     /**
-     * Groups whose inputs lie elsewhere wait for an upstream there while the pool keeps up, even if a full call waits. While
-     * the pool is behind, they come after those that belong here, and the call is full all the same: an idle upstream would
-     * cost more than their bytes.
+     * Groups whose inputs are elsewhere wait for an upstream there while the pool keeps up, even if there are pieces
+     * for a full call. While the pool is behind, they come after the groups that prefer this upstream, and the call
+     * is full: an idle upstream would cost more than their traffic.
      */
     @ParameterizedTest
     @CsvSource({"9, false, 2, 4", "10, false, 2, 4", "10, true, 2, 10"})
@@ -66,8 +67,8 @@
     }
 
     /**
-     * Large results: a call of them takes more than half of their maker's memory. A group made in part would hold that memory
-     * until the rest is there, and the next calls would have room for a piece or two.
+     * Large results: a full call of them takes more than half of an upstream's memory. A partly made group would hold
+     * that memory until the rest is complete, and the next calls would have room for only a piece or two.
      */
     @ParameterizedTest
     @CsvSource({"250000, 10", "250001, 8"})
@@ -77,7 +78,10 @@
         assertThat(take(12, Long.MAX_VALUE)).hasSize(pieces);
     }
 
-    /** Less waits than a call has places for, and several upstreams are free: a group that does not fit waits whole. */
+    /**
+     * Fewer pieces wait than fit into a call, and several upstreams are free: a group that does not fit waits as a
+     * whole.
+     */
     @Test
     void groupStaysWholeWhileThePoolKeepsUp() {
         queue.add(group(1, 8, 900, 4, 0));
@@ -89,7 +93,10 @@
         assertThat(queue.isEmpty()).isTrue();
     }
 
-    /** Large results fill the upstream's memory before the call's places: only what fits goes, and smaller ones behind it. */
+    /**
+     * Large results fill the upstream's memory before the call is full: only the pieces that fit are taken, then
+     * smaller ones.
+     */
     @Test
     void fullCallKeepsToTheMemoryForResults() {
         queue.add(group(1, 4, 900, 4, 100));
@@ -116,10 +123,10 @@
     }
 
     @Test
-    void groupWhoseTimeIsOverIsTakenOut() {
+    void expiredGroupIsRemoved() {
         queue.add(group(1, 2, 10, 4, 0));
-        assertThat(queue.takeOver(1_999_000_000L)).isEmpty();
-        assertThat(queue.takeOver(2_000_000_000L)).hasSize(1);
+        assertThat(queue.removeExpired(1_999_000_000L)).isEmpty();
+        assertThat(queue.removeExpired(2_000_000_000L)).hasSize(1);
         assertThat(queue.isEmpty()).isTrue();
     }
 
--- a/library/src/test/java/org/copperspindle/batch/PoolDispatcherTest.java
+++ b/library/src/test/java/org/copperspindle/batch/PoolDispatcherTest.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import java.util.stream.IntStream;
 
-import org.copperspindle.batch.FakeStagePort.Conduct;
+import org.copperspindle.batch.FakeStagePort.Behavior;
 import org.copperspindle.discovery.UpstreamDirectory;
 import org.copperspindle.discovery.UpstreamPhase;
 import org.copperspindle.discovery.UpstreamRecord;
@@ -47,26 +47,26 @@
     }
 
     @Test
-    void freeUpstreamsShareWhatWaits() {
+    void freeUpstreamsShareWaitingGroups() {
         upstream("a", "d1");
         upstream("b", "d1");
         upstream("c", "d1");
-        port.conduct.put("a", Conduct.SOUND);
+        port.behaviors.put("a", Behavior.SOUND);
         IntStream.range(0, 3).forEach(i -> add(group(8, 5000, 20_000)));
         assertThat(port.calls).extracting(FakeStagePort.Call::upstream).containsExactlyInAnyOrder("a", "b", "c");
     }
 
     /**
-     * An upstream fails in one way or another while a second one is sound. The request sees a wait, and every piece once;
-     * what a failing upstream was asked for is made by the other.
+     * An upstream fails in one way or another while a second one works. The request is delayed but gets every piece
+     * once: the pieces of the failing upstream are made by the other.
      */
     @ParameterizedTest
     @EnumSource(
-            value = Conduct.class,
-            names = {"DARK", "FAILING", "WITHOUT_ROOM"})
-    void piecesOfAFailingUpstreamAreMadeByAnother(Conduct conduct) {
+            value = Behavior.class,
+            names = {"UNRESPONSIVE", "FAILING", "WITHOUT_ROOM"})
+    void piecesOfAFailingUpstreamAreMadeByAnother(Behavior behavior) {
         upstream("a", "d1");
-        port.conduct.put("a", conduct);
+        port.behaviors.put("a", behavior);
         add(group(8, 5000, 20_000));
         upstream("b", "d1");
         dispatcher.dispatch();
@@ -75,22 +75,22 @@
         assertThat(results).extracting(PieceResult::piece).doesNotHaveDuplicates();
     }
 
-    /** Every upstream fails: the request must hear of it rather than wait for ever. */
+    /** Every upstream fails: the failure must be reported to the request rather than let it wait forever. */
     @Test
-    void piecesAreGivenUpAfterThreeLosses() {
+    void piecesFailAfterThreeLosses() {
         upstream("a", "d1");
-        port.conduct.put("a", Conduct.FAILING);
+        port.behaviors.put("a", Behavior.FAILING);
         add(group(2, 5000, 20_000));
         time.advance(5000 * MILLI);
         assertThat(port.calls).hasSize(3);
         assertThat(results).hasSize(2).allMatch(r -> r.outcome().equals(new PieceOutcome.Missed(MissReason.FAILED)));
     }
 
-    /** The input of a stage was forgotten by its maker: making the piece again elsewhere would fail again. */
+    /** The input of a stage has expired at its producer: running the piece again elsewhere would fail again. */
     @Test
-    void lostInputIsToldAtOnce() {
+    void lostInputIsReportedAtOnce() {
         upstream("a", "d1");
-        port.conduct.put("a", Conduct.WITHOUT_INPUT);
+        port.behaviors.put("a", Behavior.WITHOUT_INPUT);
         add(group(1, 5000, 20_000));
         time.advance(300 * MILLI);
         assertThat(results)
@@ -99,9 +99,9 @@
     }
 
     @Test
-    void slowUpstreamGetsNoCallThatAFastOneEndsBefore() {
+    void slowUpstreamGetsNoCallThatAFastOneWouldFinishEarlier() {
         upstream("slow", "d1");
-        port.conduct.put("slow", Conduct.SLOW);
+        port.behaviors.put("slow", Behavior.SLOW);
         add(group(8, 50_000, 90_000));
         time.advance(1600 * MILLI);
         upstream("fast", "d1");
@@ -117,9 +117,9 @@
         assertThat(slow).isLessThanOrEqualTo(1);
     }
 
-    /** Nobody waits for it any more; its time was over while it waited. */
+    /** Its deadline passed while it waited, and nobody needs its results any more. */
     @Test
-    void groupWhoseTimeIsOverIsToldSo() {
+    void expiredGroupIsReported() {
         add(group(1, 10, 50));
         time.advance(200 * MILLI);
         assertThat(results)
@@ -127,9 +127,9 @@
                 .satisfies(r -> assertThat(r.outcome()).isEqualTo(new PieceOutcome.Missed(MissReason.LATE)));
     }
 
-    /** The caller left while a call ran: what comes of it holds memory and is freed, and nobody is told. */
+    /** The caller left while a call ran: its results hold memory and are released, and nothing is reported. */
     @Test
-    void resultsOfACancelledGroupAreFreed() {
+    void resultsOfACancelledGroupAreReleased() {
         upstream("a", "d1");
         PieceGroup group = group(3, 5000, 20_000);
         add(group);
@@ -141,8 +141,8 @@
     }
 
     /**
-     * A node loses power: what it had asked for is made and never given up, and fills the memory of its makers for seconds.
-     * Results made for other nodes stay, and so do those of the node's next life.
+     * A node loses power: the results made for it are never released and fill the memory of their producers for
+     * seconds. Results made for other nodes are kept, and so are those of the node's next incarnation.
      */
     @Test
     void resultsOfALostNodeAreFound() {
@@ -171,7 +171,7 @@
         upstream("near", "d1");
         upstream("far", "d2");
         upstream("maker", "d1");
-        // Both stage upstreams are free; the maker of the inputs stands in the failure domain of one of them.
+        // Both stage upstreams are free; the producer of the inputs is in the failure domain of one of them.
         IntStream.range(0, 4).forEach(i -> {
             add(follower("10.0.0.3:1/x", 200_000));
             time.advance(700 * MILLI);
@@ -179,7 +179,10 @@
         assertThat(port.calls).noneMatch(c -> c.upstream().equals("far"));
     }
 
-    /** Half of the results wait for their stage: a call that needs more memory than is left would come back unmade. */
+    /**
+     * Half of the results wait for the next stage: a call that needs more memory than is free would return without
+     * results.
+     */
     @Test
     void callTakesNoMoreThanTheMemoryForItsResults() {
         upstream("a", "d1");
@@ -197,57 +200,58 @@
     }
 
     /**
-     * A call runs that reads results of another pool. Their makers need the memory: it is given back while the call still
-     * runs, as soon as the inputs must have been fetched, and not before.
+     * A call runs that reads results of another pool. Their producers need the memory: it is released while the call
+     * still runs, as soon as the inputs must have been fetched, and not before.
      */
     @Test
-    void inputsAreGivenUpOnceTheyAreFetched() {
+    void inputsAreReleasedOnceFetched() {
         upstream("a", "d1");
         add(follower("10.0.0.9:1/x", 0));
         time.advance(24 * MILLI);
-        assertThat(sink.givenUp).isEmpty();
+        assertThat(sink.released).isEmpty();
         time.advance(MILLI);
-        assertThat(sink.givenUp).containsExactly("10.0.0.9:1/x");
+        assertThat(sink.released).containsExactly("10.0.0.9:1/x");
         assertThat(results).isEmpty();
     }
 
     /**
-     * The upstream refuses the call, and it goes out again a little later. The inputs must last until that call has
-     * fetched them, counted from its own start.
+     * The upstream refuses the call, and it is sent again a little later. The inputs must be retained until that call
+     * has fetched them, counted from its own start.
      */
     @Test
     void inputsOfARefusedCallAreKeptForTheNext() {
         upstream("a", "d1");
-        port.conduct.put("a", Conduct.REFUSING);
+        port.behaviors.put("a", Behavior.REFUSING);
         add(follower("10.0.0.9:1/x", 0));
         time.advance(30 * MILLI);
-        port.conduct.put("a", Conduct.SOUND);
+        port.behaviors.put("a", Behavior.SOUND);
         time.advance(54 * MILLI);
         assertThat(port.calls).hasSize(2);
-        assertThat(sink.givenUp).isEmpty();
+        assertThat(sink.released).isEmpty();
         time.advance(10 * MILLI);
-        assertThat(sink.givenUp).containsExactly("10.0.0.9:1/x");
+        assertThat(sink.released).containsExactly("10.0.0.9:1/x");
     }
 
     /**
-     * An upstream turns six times slower. Its first calls are given to others, but it must not be taken for dark for ever: it
-     * answers in the end, and what it makes counts.
+     * An upstream turns six times slower. Its first calls time out, but it must not be considered unresponsive
+     * forever: with a longer timeout it answers eventually, and its results count.
      */
     @Test
     void slowUpstreamAnswersAfterTwoLosses() {
         upstream("a", "d1");
-        port.conduct.put("a", Conduct.SLOW);
+        port.behaviors.put("a", Behavior.SLOW);
         add(group(8, 50_000, 90_000));
         time.advance(30_000 * MILLI);
         assertThat(results).hasSize(8).allMatch(r -> r.outcome() instanceof PieceOutcome.Made);
     }
 
     /**
-     * The only upstream has no memory left, and its results are given up. The next call goes out once it has answered: on
-     * another connection the call would overtake that, find the memory full, and its pieces would be refused.
+     * The only upstream has no memory left, and its results are released. The next call is sent once the upstream has
+     * confirmed the release: on another connection the call could overtake it, find the memory full, and have its
+     * pieces refused.
      */
     @Test
-    void memoryIsFreeOnceItsOwnerHasHeard() {
+    void memoryIsFreeOnceTheReleaseIsConfirmed() {
         port.freeNanos = 50 * MILLI;
         upstream("a", "d1");
         add(sized(8, 600_000));
@@ -265,11 +269,14 @@
         assertThat(port.calls).hasSize(2);
     }
 
-    /** The upstream finds no room after it has fetched the inputs, which are given up by then: the request hears of it. */
+    /**
+     * The upstream finds no memory after it has fetched the inputs, which are released by then: this is reported to
+     * the request.
+     */
     @Test
-    void piecesWithoutRoomAndInputsAreToldSo() {
+    void piecesWithoutRoomAndInputsAreReported() {
         upstream("a", "d1");
-        port.conduct.put("a", Conduct.WITHOUT_ROOM);
+        port.behaviors.put("a", Behavior.WITHOUT_ROOM);
         add(follower("10.0.0.9:1/x", 0));
         time.advance(400 * MILLI);
         assertThat(port.calls).hasSize(1);
@@ -279,26 +286,26 @@
     }
 
     /**
-     * The caller leaves, or the time is over, while the group waits: nobody will ever read the inputs, and nobody else
-     * gives them up.
+     * The caller leaves, or the deadline passes, while the group waits: nobody will ever read the inputs, and nobody
+     * else releases them.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void inputsOfAGroupThatIsNeverMadeAreGivenUp(boolean cancelled) {
+    void inputsOfAGroupThatNeverRunsAreReleased(boolean cancelled) {
         add(follower("10.0.0.9:1/x", 0));
         if (cancelled) {
             dispatcher.cancel("origin", lastId);
         } else {
             time.advance(21_000 * MILLI);
         }
-        assertThat(sink.givenUp).containsExactly("10.0.0.9:1/x");
+        assertThat(sink.released).containsExactly("10.0.0.9:1/x");
     }
 
-    /** The call is lost after its inputs were given up: the pieces can't be made again without them. */
+    /** The call is lost after its inputs were released: the pieces can't be run again without them. */
     @Test
-    void lostCallWithoutInputsIsToldSo() {
+    void lostCallWithoutInputsIsReported() {
         upstream("a", "d1");
-        port.conduct.put("a", Conduct.DARK);
+        port.behaviors.put("a", Behavior.UNRESPONSIVE);
         add(follower("10.0.0.9:1/x", 0));
         time.advance(10_000 * MILLI);
         assertThat(port.calls).hasSize(1);
@@ -308,19 +315,19 @@
     }
 
     /**
-     * An upstream goes dark with a call, and starts again under its id. What it held is gone with its former life, and the
-     * dark call must not keep its new life from getting the next one.
+     * An upstream stops answering during a call and restarts under the same id. Its results are gone with its old
+     * incarnation, and the unanswered call must not keep the new incarnation from getting the next one.
      */
     @Test
-    void restartUnderTheSameIdIsFreeAndEmpty() {
-        live("a", 1000);
-        port.conduct.put("a", Conduct.DARK);
+    void restartedUpstreamIsFreeAndEmpty() {
+        announceIncarnation("a", 1000);
+        port.behaviors.put("a", Behavior.UNRESPONSIVE);
         add(group(8, 5000, 20_000));
         add(group(8, 5000, 20_000));
-        port.conduct.put("a", Conduct.SOUND);
+        port.behaviors.put("a", Behavior.SOUND);
         time.advance(100 * MILLI);
         assertThat(port.calls).hasSize(1);
-        live("a", 2000);
+        announceIncarnation("a", 2000);
         dispatcher.dispatch();
         assertThat(port.calls).as("the second group at once").hasSize(2);
         time.advance(8000 * MILLI);
@@ -328,11 +335,11 @@
     }
 
     /**
-     * A failure domain is evacuated while a call runs there and pieces wait. What runs is finished and its results are used; no
-     * further call goes there, and nobody is told there of results that are given up.
+     * A failure domain is evacuated while a call runs there and pieces wait. The running call is finished and its
+     * results are used; no further calls go there, and neither do releases of results.
      */
     @Test
-    void evacuatedDomainGetsNothingMore() {
+    void evacuatedDomainGetsNoFurtherCalls() {
         upstream("a", "d1");
         upstream("b", "d2");
         IntStream.range(0, 12).forEach(i -> add(group(8, 5000, 20_000)));
@@ -347,9 +354,11 @@
         assertThat(results).hasSize(96).allMatch(r -> r.outcome() instanceof PieceOutcome.Made);
     }
 
-    /** A cold upstream that bears a few requests a second is told of given up results together, not fifty times a second. */
+    /**
+     * A cold upstream that can take a few requests a second gets its releases in batches, not fifty times a second.
+     */
     @Test
-    void coldUpstreamIsRarelyToldOfResults() {
+    void coldUpstreamGetsFewReleases() {
         directory.accept(
                 new UpstreamRecord("a", 0, "p", "10.0.0.1:1", "d1", UpstreamPhase.READY, 1, 1, 0, 3000),
                 time.nanoTime());
@@ -363,7 +372,7 @@
         assertThat(port.freeCalls).isBetween(3, 6);
     }
 
-    private void live(String id, long incarnation) {
+    private void announceIncarnation(String id, long incarnation) {
         announce(id, incarnation, "10.0.0.1:1", "d1");
     }
 
--- a/library/src/test/java/org/copperspindle/batch/PoolUpstreamsTest.java
+++ b/library/src/test/java/org/copperspindle/batch/PoolUpstreamsTest.java
@@ -24,40 +24,44 @@
     private final PoolUpstreams upstreams = new PoolUpstreams("p", directory);
 
     /**
-     * The inputs of several calls were gone, so that their upstream answered within 50 ms. Beside it three upstreams that took
-     * as long as stated looked slow ("stage-upstream-slow slowness=1.0") and got no calls while it was busy.
+     * The inputs of several calls were gone, so that their upstream answered within 50 ms. Compared with it, three
+     * upstreams that took as long as stated looked slow ("stage-upstream-slow slowness=1.0") and got no calls while
+     * it was busy.
      */
     @Test
-    void answersAtOnceMakeNoOtherUpstreamSlow() {
+    void instantResponsesMakeNoOtherUpstreamSlow() {
         announce("quick", "usual", "other");
         for (int call = 0; call < 5; call++) {
             answer("quick", 50);
             answer("usual", 300);
             answer("other", 330);
         }
-        find("quick").started(CALL_NANOS);
-        assertThat(upstreams.leftAlone(0)).isEmpty();
+        find("quick").onSent(CALL_NANOS);
+        assertThat(upstreams.skippedAsSlow(0)).isEmpty();
     }
 
-    /** An upstream at twice its stated time and more is left alone while a faster one is busy, and used if none is. */
+    /**
+     * An upstream that takes twice its stated time or more is skipped while a faster one is busy, and used if none
+     * is.
+     */
     @ParameterizedTest
     @CsvSource({"550, true, 0", "650, true, 1", "650, false, 0"})
-    void slowUpstreamIsLeftAloneWhileAnotherIsBusy(long tookMillis, boolean busy, int alone) {
+    void slowUpstreamIsSkippedWhileAnotherIsBusy(long tookMillis, boolean busy, int skipped) {
         announce("usual", "slow");
         for (int call = 0; call < 20; call++) {
             answer("usual", 300);
             answer("slow", tookMillis);
         }
         if (busy) {
-            find("usual").started(CALL_NANOS);
+            find("usual").onSent(CALL_NANOS);
         }
-        assertThat(upstreams.leftAlone(0)).hasSize(alone);
+        assertThat(upstreams.skippedAsSlow(0)).hasSize(skipped);
         assertThat(upstreams.callable(LIMITS, 0)).hasSize(busy ? 1 : 2);
     }
 
-    /** The load of a pool is that of the upstreams that get calls. */
+    /** The load of a pool counts only the upstreams that get calls. */
     @Test
-    void loadLeavesSlowUpstreamsOut() {
+    void loadExcludesSlowUpstreams() {
         announce("usual", "slow");
         double alone = upstreams.load(Optional.of(LIMITS), 0, 0).piecesPerSecond() / 2;
         for (int call = 0; call < 20; call++) {
@@ -68,12 +72,12 @@
     }
 
     /**
-     * Calls of forty pieces. One full call that waits is half of what two upstreams take next, but little for thirty: there it
-     * waits for upstreams of its failure domain, and the pool keeps up.
+     * With calls of forty pieces, one waiting full call is half of what two upstreams take next, but little for
+     * thirty: there the groups wait for upstreams of their failure domain, and the pool keeps up.
      */
     @ParameterizedTest
     @CsvSource({"2, 39, false", "2, 40, true", "30, 40, false", "30, 599, false", "30, 600, true"})
-    void poolIsBehindByWhatEachOfItsUpstreamsHasToDo(int count, int waiting, boolean behind) {
+    void poolIsBehindByTheBacklogPerUpstream(int count, int waiting, boolean behind) {
         announce(IntStream.range(0, count).mapToObj(i -> "u" + i).toArray(String[]::new));
         assertThat(upstreams.isBehind(LIMITS, waiting, 0)).isEqualTo(behind);
     }
@@ -88,13 +92,13 @@
 
     private void answer(String id, long tookMillis) {
         StageUpstream upstream = find(id);
-        upstream.started(CALL_NANOS);
-        upstream.answered(CALL_NANOS, tookMillis * MILLI);
+        upstream.onSent(CALL_NANOS);
+        upstream.onAnswered(CALL_NANOS, tookMillis * MILLI);
     }
 
     private StageUpstream find(String id) {
         return upstreams.all().stream()
-                .filter(u -> u.news().id().equals(id))
+                .filter(u -> u.announced().id().equals(id))
                 .findFirst()
                 .orElseThrow();
     }
--- a/library/src/test/java/org/copperspindle/batch/RecordingSink.java
+++ b/library/src/test/java/org/copperspindle/batch/RecordingSink.java
@@ -5,11 +5,11 @@
 import java.util.function.Consumer;
 
 /**
- * Takes what a dispatcher hands on.
+ * Passes results on and records released handles.
  */
 final class RecordingSink implements PoolDispatcher.ResultSink {
 
-    final List<String> givenUp = new ArrayList<>();
+    final List<String> released = new ArrayList<>();
     private final Consumer<PieceResultsMessage> results;
 
     RecordingSink(Consumer<PieceResultsMessage> results) {
@@ -22,7 +22,7 @@
     }
 
     @Override
-    public void giveUp(List<String> handles) {
-        givenUp.addAll(handles);
+    public void release(List<String> handles) {
+        released.addAll(handles);
     }
 }
--- a/library/src/test/java/org/copperspindle/batch/ResultMemoryTest.java
+++ b/library/src/test/java/org/copperspindle/batch/ResultMemoryTest.java
@@ -20,16 +20,16 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Replays the load that giving inputs up early is for: a burst of 46 requests a second, eight pieces of 60 kB each, goes
- * through two pools of four upstreams. The first has memory for 87 results an upstream, a quarter of what its calls make
- * in the time that results wait for the second pool and are read by it.
+ * Replays the load that the early release of inputs is designed for: a burst of 46 requests a second, eight pieces of
+ * 60 kB each, goes through two pools of four upstreams. Each upstream of the first pool has memory for 87 results, a
+ * quarter of what its calls produce in the time that results wait for the second pool and are read by it.
  */
 class ResultMemoryTest {
 
     private static final long MILLI = 1_000_000L;
     private static final int REQUESTS = 400;
     private static final double REQUESTS_PER_SECOND = 46;
-    private static final long BOUND_MILLIS = 1300;
+    private static final long OBJECTIVE_MILLIS = 1300;
     private static final BatchLimits FIRST = new BatchLimits(
             1, 2, 47, 240 * MILLI, 4_366_000, 5_222_220, Duration.ofSeconds(4).toNanos(), 1_250_000_000L);
     private static final BatchLimits SECOND = new BatchLimits(
@@ -38,7 +38,7 @@
     private final VirtualTimerService time = new VirtualTimerService();
     private final UpstreamDirectory directory = new UpstreamDirectory();
     private final Map<Long, List<String>> made = new HashMap<>();
-    private final Map<Long, Long> begun = new HashMap<>();
+    private final Map<Long, Long> startedAt = new HashMap<>();
     private final Map<Long, Integer> read = new HashMap<>();
     private PoolDispatcher first;
     private PoolDispatcher second;
@@ -46,25 +46,25 @@
     private int inTime;
 
     /**
-     * Of 400 requests 355 pass both pools in 1.3 s where inputs are given up once they are fetched, and 132 where that
-     * waits for the end of the call that reads them.
+     * Of 400 requests, 355 pass both pools in 1.3 s if inputs are released once they are fetched, and 132 if they are
+     * released at the end of the call that reads them.
      */
     @Test
-    void memoryGivenBackEarlyKeepsCallsLarge() {
+    void earlyReleaseOfInputsKeepsCallsLarge() {
         int whenFetched = replay(true);
         int whenRead = new ResultMemoryTest().replay(false);
         assertThat(whenFetched).isGreaterThan(REQUESTS * 85 / 100);
         assertThat(whenRead).isLessThan(REQUESTS / 2);
     }
 
-    private int replay(boolean givesUpEarly) {
-        early = givesUpEarly;
+    private int replay(boolean releasesEarly) {
+        early = releasesEarly;
         first = dispatcher("a", FIRST, 1, new RecordingSink(this::firstMade));
         second = dispatcher("b", SECOND, 5, new ReaderSink());
         SplittableRandom random = new SplittableRandom(11);
         for (long id = 1; id <= REQUESTS; id++) {
             time.advance((long) (-Math.log(1 - random.nextDouble()) / REQUESTS_PER_SECOND * 1e9));
-            begun.put(id, time.nanoTime());
+            startedAt.put(id, time.nanoTime());
             first.add("origin", group(id, 0, "a", 8, List.of(), 60_000));
         }
         time.advance(20_000 * MILLI);
@@ -101,12 +101,12 @@
 
     private PieceGroup group(long id, int stage, String pool, int pieces, List<String> inputs, long bytes) {
         List<Integer> all = IntStream.range(0, pieces).boxed().toList();
-        long left = BOUND_MILLIS - (time.nanoTime() - begun.get(id)) / MILLI;
+        long left = OBJECTIVE_MILLIS - (time.nanoTime() - startedAt.get(id)) / MILLI;
         return new PieceGroup(
                 id, "r" + id, stage, pool, pieces, all, "k", inputs, 4, left, 4000, bytes, 0, "", early && stage == 1);
     }
 
-    /** Stands for the node of the request behind the second pool. */
+    /** The node of the request, which receives the results of the second pool. */
     private final class ReaderSink implements PoolDispatcher.ResultSink {
         @Override
         public void deliver(String origin, PieceResultsMessage message) {
@@ -116,11 +116,11 @@
             if (!early) {
                 first.free(made.get(message.group()));
             }
-            inTime += time.nanoTime() - begun.get(message.group()) <= BOUND_MILLIS * MILLI ? 1 : 0;
+            inTime += time.nanoTime() - startedAt.get(message.group()) <= OBJECTIVE_MILLIS * MILLI ? 1 : 0;
         }
 
         @Override
-        public void giveUp(List<String> handles) {
+        public void release(List<String> handles) {
             first.free(handles);
         }
     }
--- a/library/src/test/java/org/copperspindle/batch/SharedCallsTest.java
+++ b/library/src/test/java/org/copperspindle/batch/SharedCallsTest.java
@@ -20,8 +20,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Replays the load that one node for each pool is for: eight nodes with five requests a second each, of eight pieces, for
- * four upstreams whose full calls make 360 pieces a second.
+ * Replays the load that a single dispatcher per pool is designed for: eight nodes with five requests a second each,
+ * of eight pieces, for four upstreams whose full calls complete 360 pieces a second.
  */
 class SharedCallsTest {
 
@@ -33,15 +33,15 @@
     private static final long SLACK_MILLIS = 900;
 
     /**
-     * Of 1,200 groups 1,197 are made in 900 ms where the pieces of all nodes meet, and 14 where each node calls for
-     * itself: small calls use up the pool, and queues grow until requests are over.
+     * Of 1,200 groups, 1,197 complete in 900 ms with one dispatcher, and 14 if each node makes its own calls: small
+     * calls use up the capacity of the pool, and queues grow until requests expire.
      */
     @Test
-    void callsSharedByAllNodesKeepUpWhereCallsOfEachNodeDoNot() {
+    void sharedCallsKeepUpWhereSeparateCallsDoNot() {
         int shared = madeInTime(1);
-        int apart = madeInTime(NODES);
+        int separate = madeInTime(NODES);
         assertThat(shared).isGreaterThan(GROUPS * 98 / 100);
-        assertThat(apart).isLessThan(GROUPS / 2);
+        assertThat(separate).isLessThan(GROUPS / 2);
     }
 
     private static int madeInTime(int dispatchers) {
--- a/library/src/test/java/org/copperspindle/batch/SlowUpstreamTest.java
+++ b/library/src/test/java/org/copperspindle/batch/SlowUpstreamTest.java
@@ -5,7 +5,7 @@
 import java.util.stream.IntStream;
 
 import org.assertj.core.data.Percentage;
-import org.copperspindle.batch.FakeStagePort.Conduct;
+import org.copperspindle.batch.FakeStagePort.Behavior;
 import org.copperspindle.discovery.UpstreamDirectory;
 import org.copperspindle.discovery.UpstreamPhase;
 import org.copperspindle.discovery.UpstreamRecord;
@@ -19,7 +19,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Three upstreams under a load that needs all of them. One turns five times slower for four seconds.
+ * Three upstreams under a load that needs all of them. One is five times slower for four seconds.
  */
 class SlowUpstreamTest {
 
@@ -28,7 +28,7 @@
 
     private static final String SLOW = "slow";
 
-    /** Groups of eight pieces come as often as two upstreams and a third one can make them in full calls. */
+    /** Groups of eight pieces arrive as often as two and a third upstreams can complete them in full calls. */
     private static final long GROUP_GAP_MILLIS = 32;
 
     private final VirtualTimerService time = new VirtualTimerService();
@@ -50,56 +50,58 @@
     }
 
     /**
-     * Callers were told that the stages are full, long after a fault was over. Three of eleven upstreams of a pool turned slow
-     * for four seconds; from then on another one was always busy, so that they got no call for 14 s on one run and for 23 s on
-     * another, until every node was restarted, though nothing but a call can show that they are sound again. The
-     * "stage-call" lines of the pool fell from 48 to 34 in two seconds while "waiting" rose from 30 to 450.
+     * Guards against upstreams that stay unused after a slow phase. Three of eleven upstreams of a pool were slow for
+     * four seconds. From then on a faster one was always busy, so they got no call that could have shown their
+     * recovery, for 14 s in one run and for 23 s in another, until every node was restarted; callers were refused
+     * because stages were full. The pool's "stage-call" lines fell from 48 to 34 in two seconds while "waiting" rose
+     * from 30 to 450.
      */
     @Test
     void upstreamThatWasSlowIsUsedAgainUnderLoad() {
-        play(3000);
-        port.conduct.put(SLOW, Conduct.SLOW);
-        play(4000);
-        port.conduct.put(SLOW, Conduct.SOUND);
-        play(4000);
+        addGroupsFor(3000);
+        port.behaviors.put(SLOW, Behavior.SLOW);
+        addGroupsFor(4000);
+        port.behaviors.put(SLOW, Behavior.SOUND);
+        addGroupsFor(4000);
         long from = time.nanoTime();
-        play(5000);
+        addGroupsFor(5000);
         assertThat(callsFrom(from, SLOW)).isGreaterThanOrEqualTo(callsFrom(from, "b") - 2);
     }
 
     /**
-     * Of the worth of descriptions 0.195 was earned for the rest of a day. The node that packs a pool's calls was frozen for
-     * eight seconds with calls under way to eight of eleven upstreams. Their answers looked as if they had taken as long, and
+     * Guards against a pause of the dispatcher that is mistaken for slow upstreams. A dispatcher was frozen for eight
+     * seconds with calls in progress at eight of eleven upstreams. Their calls seemed to have taken that long, and
      * the three others got all calls from then on: 12 to 16 "stage-call" lines in two seconds, where 48 were usual.
+     * For the rest of the day, description requests earned only 0.195 of their value.
      */
     @Test
-    void upstreamsAreUsedAgainAfterTheirCallerStoodStill() {
-        port.standsStillUntil = 8000 * MILLI;
+    void upstreamsAreUsedAgainAfterAPauseOfTheDispatcher() {
+        port.pausedUntil = 8000 * MILLI;
         dispatcher.add("origin", group());
         dispatcher.add("origin", group());
         dispatcher.add("origin", group());
         time.advance(8000 * MILLI);
         upstream("d");
-        play(150);
+        addGroupsFor(150);
         upstream("e");
-        play(2000);
+        addGroupsFor(2000);
         long from = time.nanoTime();
-        play(5000);
+        addGroupsFor(5000);
         List.of(SLOW, "b", "c")
                 .forEach(each ->
                         assertThat(callsFrom(from, each)).as(each).isGreaterThanOrEqualTo(callsFrom(from, "d") - 2));
     }
 
     /**
-     * The same with a look at the clock: what calls took tells nothing then, and the pool is as fast as it was, at once. Else the
-     * node told of waits of twelve seconds, and five seconds of callers were refused by all nodes.
+     * The same with a pause detector: the durations of the calls are ignored, and the load is unchanged right after
+     * the pause. Otherwise the node reported waits of twelve seconds, and all nodes refused callers for five seconds.
      */
     @Test
-    void poolIsAsFastAsBeforeOnceItsCallerWakes() {
-        PauseDetector watch = new PauseDetector();
-        dispatcher.judgingBy(watch);
-        watch.look(time.nanoTime());
-        port.standsStillUntil = 8000 * MILLI;
+    void pauseOfTheDispatcherDoesNotChangeTheLoad() {
+        PauseDetector detector = new PauseDetector();
+        dispatcher.withPauseDetector(detector);
+        detector.check(time.nanoTime());
+        port.pausedUntil = 8000 * MILLI;
         IntStream.range(0, 3).forEach(i -> dispatcher.add("origin", group()));
         double before = dispatcher.load().piecesPerSecond();
         time.advance(8010 * MILLI);
@@ -107,31 +109,32 @@
         assertThat(dispatcher.load().waitNanos()).isZero();
     }
 
-    /** An upstream that stays slow gets now and then a small call: what goes there comes late. */
+    /** An upstream that stays slow gets only a small call now and then, since the results of such calls come late. */
     @Test
     void upstreamThatStaysSlowGetsFewPieces() {
-        port.conduct.put(SLOW, Conduct.SLOW);
-        play(4000);
+        port.behaviors.put(SLOW, Behavior.SLOW);
+        addGroupsFor(4000);
         long from = time.nanoTime();
-        play(12_000);
+        addGroupsFor(12_000);
         assertThat(piecesFrom(from, SLOW)).isBetween(1, 4 * 8);
     }
 
     /**
-     * Pools tell how long a group waits that comes now, and requests begin by it. Counted among those that are free or make
-     * pieces, an upstream that gets no calls made the wait look shorter than it was, and requests began that came late.
+     * Guards against a load that counts slow upstreams. Requests are admitted by the wait of their pools; an upstream
+     * that gets no calls, counted as free or as part of the throughput, made the wait look shorter than it was, and
+     * the admitted requests were late.
      */
     @Test
     void slowUpstreamDoesNotCountAsFree() {
-        port.conduct.put(SLOW, Conduct.SLOW);
-        play(6000);
+        port.behaviors.put(SLOW, Behavior.SLOW);
+        addGroupsFor(6000);
         PoolLoad load = dispatcher.load();
         double twoUpstreams = 2 * LIMITS.maxPieces() / (LIMITS.fullCallNanos() / 1e9);
         assertThat(load.piecesPerSecond()).isCloseTo(twoUpstreams, Percentage.withPercentage(10));
         assertThat(load.waitNanos()).isGreaterThanOrEqualTo((long) (dispatcher.waitingPieces() / twoUpstreams * 1e9));
     }
 
-    private void play(long millis) {
+    private void addGroupsFor(long millis) {
         for (long end = time.nanoTime() + millis * MILLI; time.nanoTime() < end; ) {
             dispatcher.add("origin", group());
             time.advance(GROUP_GAP_MILLIS * MILLI);
@@ -140,13 +143,13 @@
 
     private long callsFrom(long from, String upstream) {
         return port.calls.stream()
-                .filter(call -> call.at() >= from && call.upstream().equals(upstream))
+                .filter(call -> call.sentAt() >= from && call.upstream().equals(upstream))
                 .count();
     }
 
     private int piecesFrom(long from, String upstream) {
         return port.calls.stream()
-                .filter(call -> call.at() >= from && call.upstream().equals(upstream))
+                .filter(call -> call.sentAt() >= from && call.upstream().equals(upstream))
                 .mapToInt(call -> call.items().size())
                 .sum();
     }
--- a/library/src/test/java/org/copperspindle/batch/PartedCallsTest.java
+++ b/library/src/test/java/org/copperspindle/batch/SplitCallsTest.java
@@ -17,9 +17,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * A piece ends the process of each upstream that makes it, while it shares calls with pieces of other requests.
+ * A piece crashes each upstream that runs it, while it shares calls with pieces of other requests.
  */
-class PartedCallsTest {
+class SplitCallsTest {
 
     private static final long MILLI = 1_000_000L;
     private static final BatchLimits LIMITS = TestRoutes.batch(40);
@@ -40,14 +40,14 @@
             new DecisionLog(0, 0));
 
     /**
-     * The call with that piece was lost with its connection, and all of its pieces were packed together again, with others beside them.
-     * After three upstreams had ended, everybody who had shared the calls was told that a stage failed, and more who came later. Now the
-     * pieces of such a call are parted in two, and after the next loss each goes alone: three upstreams end, and only the guilty
-     * request fails.
+     * Guards against failure of requests that shared calls with the crashing piece. Batched together again after each
+     * loss, all of them failed after three crashes, and so did requests that came later. The pieces of such a call
+     * are split in two, and after the next loss each group is sent alone: three upstreams crash, and only the
+     * responsible request fails.
      */
     @ParameterizedTest
     @CsvSource({"2, 0", "12, 0", "12, 3", "30, 7"})
-    void onlyThePieceThatEndsUpstreamsFails(int groups, int fatal) {
+    void onlyTheCrashingPieceFails(int groups, int fatal) {
         port.fatal = "r" + fatal;
         for (int id = 0; id < groups; id++) {
             dispatcher.add("origin", group(id));
@@ -64,11 +64,11 @@
         time.advance(10_000 * MILLI);
         assertThat(missed).containsExactly((long) fatal);
         assertThat(made).hasSize(groups - 1).doesNotHaveDuplicates();
-        long ended = port.calls.stream()
+        long crashed = port.calls.stream()
                 .filter(call ->
                         call.items().stream().anyMatch(item -> item.requestId().equals(port.fatal)))
                 .count();
-        assertThat(ended).as("upstreams that ended").isEqualTo(3);
+        assertThat(crashed).as("upstreams that crashed").isEqualTo(3);
     }
 
     private void delivered(PieceResultsMessage message) {
--- a/library/src/test/java/org/copperspindle/batch/SplitGroupsTest.java
+++ b/library/src/test/java/org/copperspindle/batch/SplitGroupsTest.java
@@ -19,8 +19,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Replays the load that splitting is for: groups of 10 to 22 pieces, 28 a second, for four upstreams whose full calls of 31
- * make 443 pieces a second. Whole groups leave a quarter of the places empty, and the pool falls behind.
+ * Replays the load that splitting is designed for: groups of 10 to 22 pieces, 28 a second, for four upstreams whose
+ * full calls of 31 complete 443 pieces a second. With whole groups only, a quarter of the places stay empty and the
+ * pool falls behind.
  */
 class SplitGroupsTest {
 
@@ -29,7 +30,7 @@
             1, 2, 31, 150 * MILLI, 4_180_000, 50_000_000, Duration.ofSeconds(4).toNanos(), 1_250_000_000L);
     private static final int GROUPS = 600;
     private static final double GROUPS_PER_SECOND = 28;
-    private static final long BOUND_MILLIS = 800;
+    private static final long OBJECTIVE_MILLIS = 800;
 
     private final VirtualTimerService time = new VirtualTimerService();
     private final UpstreamDirectory directory = new UpstreamDirectory();
@@ -37,7 +38,7 @@
     private final Map<Long, Long> until = new HashMap<>();
     private int inTime;
 
-    /** Of 600 groups 556 are made in 800 ms; 494 were where a group that did not fit waited whole for the next call. */
+    /** Of 600 groups, 556 complete in 800 ms; with whole groups only, 494 did. */
     @Test
     void callsAreFullUnderLoad() {
         IntStream.range(0, 4)
@@ -57,7 +58,7 @@
             time.advance((long) (-Math.log(1 - random.nextDouble()) / GROUPS_PER_SECOND * 1e9));
             int pieces = 10 + random.nextInt(13);
             left.put(id, pieces);
-            until.put(id, time.nanoTime() + BOUND_MILLIS * MILLI);
+            until.put(id, time.nanoTime() + OBJECTIVE_MILLIS * MILLI);
             dispatcher.add("origin", group(id, pieces));
         }
         time.advance(30_000 * MILLI);
@@ -72,6 +73,6 @@
     private static PieceGroup group(long id, int pieces) {
         List<Integer> all = IntStream.range(0, pieces).boxed().toList();
         return new PieceGroup(
-                id, "r" + id, 0, "p", pieces, all, "k", List.of(), 4, BOUND_MILLIS, 4000, 10, 0, "", false);
+                id, "r" + id, 0, "p", pieces, all, "k", List.of(), 4, OBJECTIVE_MILLIS, 4000, 10, 0, "", false);
     }
 }
--- a/library/src/test/java/org/copperspindle/batch/TestGroups.java
+++ b/library/src/test/java/org/copperspindle/batch/TestGroups.java
@@ -10,7 +10,7 @@
 
     private TestGroups() {}
 
-    /** Makes a group of eight pieces without inputs, whose request has time. */
+    /** Creates a group of eight pieces without inputs, with ample time left. */
     static PieceGroup ofEight(long id) {
         return new PieceGroup(
                 id,
