--- a/library/src/main/java/org/copperspindle/backpressure/BackoffSignal.java
+++ b/library/src/main/java/org/copperspindle/backpressure/BackoffSignal.java
@@ -5,19 +5,19 @@
 import java.util.OptionalDouble;
 
 /**
- * What one answer says of the time in which its upstream wants nothing from the node that it answers.
+ * The backoff in a response: how long the upstream asks this node to send nothing.
  */
 public sealed interface BackoffSignal {
 
-    /** An answer that asks for nothing. */
+    /** A response that requests no backoff. */
     BackoffSignal ABSENT = new Absent();
 
     /**
-     * Reads the values of the field that holds the time. Of several the longest counts. A value that is no decimal number asks for
-     * nothing.
+     * Parses the values of the backoff field. Of several values the longest counts. A value that is not a decimal
+     * number is ignored.
      *
-     * @param values all values of the field in seconds, none if the answer lacks it
-     * @return what they say
+     * @param values all values of the field in seconds, none if the response lacks it
+     * @return the parsed signal
      */
     static BackoffSignal of(List<String> values) {
         if (values.isEmpty()) {
@@ -27,33 +27,33 @@
         return seconds.isPresent() ? Asked.of(seconds.getAsDouble()) : new Unreadable(values.get(0));
     }
 
-    /** The answer asks for nothing. */
+    /** The response requests no backoff. */
     record Absent() implements BackoffSignal {}
 
     /**
-     * The upstream turns a request away and wants no other from this node for a while.
+     * The upstream refused a request and asks this node to back off.
      *
-     * @param rest for how long
+     * @param duration length of the backoff
      */
-    record Asked(Duration rest) implements BackoffSignal {
-        /** An upstream that wants nothing for longer has left or starts anew. */
-        private static final Duration LONGEST = Duration.ofHours(1);
+    record Asked(Duration duration) implements BackoffSignal {
+        /** Upper bound: an upstream that needs longer leaves or restarts. */
+        private static final Duration MAX_DURATION = Duration.ofHours(1);
 
         private static final double NANOS_PER_SECOND = 1e9;
 
         private static Asked of(double seconds) {
-            double most = LONGEST.toSeconds();
-            return new Asked(Duration.ofNanos((long) (Math.min(most, seconds) * NANOS_PER_SECOND)));
+            double maxSeconds = MAX_DURATION.toSeconds();
+            return new Asked(Duration.ofNanos((long) (Math.min(maxSeconds, seconds) * NANOS_PER_SECOND)));
         }
     }
 
     /**
-     * The field holds no number.
+     * The field contains no number.
      *
-     * @param text what it holds
+     * @param text its value
      */
     record Unreadable(String text) implements BackoffSignal {
-        /** Cuts long texts off. */
+        /** Truncates long values. */
         public Unreadable {
             text = FieldNumber.shortened(text);
         }
--- a/library/src/main/java/org/copperspindle/backpressure/FieldNumber.java
+++ b/library/src/main/java/org/copperspindle/backpressure/FieldNumber.java
@@ -5,18 +5,18 @@
 import java.util.stream.DoubleStream;
 
 /**
- * Decimal numbers in header fields of upstreams, which may hold anything.
+ * Parses decimal numbers in header fields of upstreams, whose values are not trusted.
  */
 final class FieldNumber {
 
     private static final Pattern DECIMAL = Pattern.compile("[0-9]{1,18}(\\.[0-9]{0,18})?");
 
-    /** Longest part of an unreadable text that is kept for logs. */
-    private static final int LONGEST_TEXT = 40;
+    /** Characters of an unreadable value that are kept for logs. */
+    private static final int MAX_TEXT_LENGTH = 40;
 
     private FieldNumber() {}
 
-    /** Returns those of the values that are numbers of zero or more, without sign or exponent. */
+    /** Returns the values that are non-negative decimal numbers without sign or exponent. */
     static DoubleStream readable(List<String> values) {
         return values.stream()
                 .map(String::trim)
@@ -25,6 +25,6 @@
     }
 
     static String shortened(String text) {
-        return text.substring(0, Math.min(LONGEST_TEXT, text.length()));
+        return text.substring(0, Math.min(MAX_TEXT_LENGTH, text.length()));
     }
 }
--- a/library/src/main/java/org/copperspindle/backpressure/LimitGossip.java
+++ b/library/src/main/java/org/copperspindle/backpressure/LimitGossip.java
@@ -13,11 +13,14 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * Tells all nodes which limits upstreams have named: the keeper of an upstream may not have heard of it itself.
+ * Spreads the limits that upstreams announce to all nodes: the owner of a limit may not have received the
+ * announcement itself.
  */
 public final class LimitGossip implements MeshListener {
 
-    /** Limits that change are told together this often, since an upstream may name another one in each answer. */
+    /**
+     * Interval in which changed limits are sent together, since an upstream may announce a new one in each response.
+     */
     private static final long BATCH_NANOS = Duration.ofMillis(50).toNanos();
 
     private final NodeMesh mesh;
@@ -28,12 +31,12 @@
     private final DeferredTask flush;
 
     /**
-     * Creates the gossip; to be subscribed to the mesh.
+     * Creates the gossip. The caller subscribes it to the mesh.
      *
      * @param mesh    the nodes
-     * @param timers  time on the network thread
-     * @param limits  the limits as this node knows them
-     * @param permits gives out permits
+     * @param timers  timers of the network thread
+     * @param limits  the limits known to this node
+     * @param permits handles the permit messages
      */
     public LimitGossip(NodeMesh mesh, TimerService timers, UpstreamLimits limits, SendPermits permits) {
         this.mesh = mesh;
@@ -54,8 +57,8 @@
 
     @Override
     public void onMessage(MeshNode node, WireMessage message) {
-        if (message instanceof LimitRecordsMessage told) {
-            told.news().forEach(news -> limits.told(news, timers.nanoTime()));
+        if (message instanceof LimitRecordsMessage records) {
+            records.records().forEach(limitRecord -> limits.onRecord(limitRecord, timers.nanoTime()));
         } else {
             permits.onMessage(node.address(), message);
         }
@@ -68,12 +71,12 @@
 
     private void flush() {
         long now = timers.nanoTime();
-        List<LimitRecord> news = changed.stream()
-                .flatMap(upstream -> limits.news(upstream, now).stream())
+        List<LimitRecord> records = changed.stream()
+                .flatMap(upstream -> limits.findRecord(upstream, now).stream())
                 .toList();
         changed.clear();
-        if (!news.isEmpty()) {
-            mesh.broadcast(new LimitRecordsMessage(news));
+        if (!records.isEmpty()) {
+            mesh.broadcast(new LimitRecordsMessage(records));
         }
     }
 }
--- a/library/src/main/java/org/copperspindle/backpressure/LimitOwnerSelector.java
+++ b/library/src/main/java/org/copperspindle/backpressure/LimitOwnerSelector.java
@@ -3,16 +3,17 @@
 import java.util.Optional;
 
 /**
- * Chooses for each upstream the node that gives out its permits. All nodes that see the same nodes choose alike.
+ * Selects the owner of each upstream's limit, the node that grants the permits. Nodes that see the same nodes select
+ * the same owner.
  */
 @FunctionalInterface
 public interface LimitOwnerSelector {
 
     /**
-     * Chooses the keeper of an upstream.
+     * Returns the owner of an upstream's limit.
      *
      * @param upstream id of the upstream
-     * @return name of the node; empty if this node can't know it, and has to do without the upstream
+     * @return name of the node; empty if this node cannot know it and must not use the upstream
      */
     Optional<String> owner(String upstream);
 }
--- a/library/src/main/java/org/copperspindle/backpressure/LimitRecord.java
+++ b/library/src/main/java/org/copperspindle/backpressure/LimitRecord.java
@@ -8,19 +8,19 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * What a node has read of the limit of an upstream.
+ * The limit of an upstream, or the absence of one, as a node received it.
  *
  * @param upstream    id of the upstream
- * @param incarnation life of the upstream that said it
- * @param perSecond   requests a second from all nodes together; empty once it names no limit any more
- * @param ageMillis   how long before this record was sent it was read
+ * @param incarnation incarnation of the upstream that announced it
+ * @param perSecond   requests per second from all nodes together; empty if it does not announce a limit any more
+ * @param ageMillis   age of the announcement when this record was sent
  */
 record LimitRecord(String upstream, long incarnation, OptionalDouble perSecond, long ageMillis) implements WireMessage {
 
     static final MessageCodec<LimitRecord> CODEC =
             MessageCodec.of(226, LimitRecord.class, LimitRecord::write, LimitRecord::read);
 
-    /** Limits travel as whole numbers of requests in a million seconds. */
+    /** Limits are encoded as whole numbers of requests per million seconds. */
     private static final double SCALE = 1e6;
 
     private static final long NO_LIMIT = -1;
--- a/library/src/main/java/org/copperspindle/backpressure/LimitRecordsMessage.java
+++ b/library/src/main/java/org/copperspindle/backpressure/LimitRecordsMessage.java
@@ -8,11 +8,11 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * Limits of upstreams that a node tells another of.
+ * Limits of upstreams, sent from one node to another.
  *
- * @param news one for each upstream
+ * @param records one record for each upstream
  */
-public record LimitRecordsMessage(List<LimitRecord> news) implements WireMessage {
+public record LimitRecordsMessage(List<LimitRecord> records) implements WireMessage {
 
     /** Codec of this message. */
     public static final MessageCodec<LimitRecordsMessage> CODEC =
@@ -20,11 +20,11 @@
 
     /** Copies the list. */
     public LimitRecordsMessage {
-        news = List.copyOf(news);
+        records = List.copyOf(records);
     }
 
     private void write(FieldWriter out) {
-        out.put(1, news.stream().map(LimitRecord::encode).toList());
+        out.put(1, records.stream().map(LimitRecord::encode).toList());
     }
 
     private static LimitRecordsMessage read(FieldReader in) {
--- a/library/src/main/java/org/copperspindle/backpressure/LimitSignal.java
+++ b/library/src/main/java/org/copperspindle/backpressure/LimitSignal.java
@@ -4,19 +4,20 @@
 import java.util.OptionalDouble;
 
 /**
- * What one answer says of the requests a second that its upstream takes from all nodes together.
+ * The request rate limit in a response: the requests per second that the upstream accepts from all nodes together.
  */
 public sealed interface LimitSignal {
 
-    /** An answer without a limit. */
+    /** A response without a limit. */
     LimitSignal ABSENT = new Absent();
 
     /**
-     * Reads the values of the field that holds the limit. Of several the lowest counts, since any of them may be what the upstream
-     * bears. A value that is no decimal number says nothing: neither that there is a limit nor that there is none.
+     * Parses the values of the limit field. Of several values the lowest counts, since any of them may be the rate
+     * that the upstream can sustain. A value that is not a decimal number is ignored: it neither sets nor removes a
+     * limit.
      *
-     * @param values all values of the field, none if the answer lacks it
-     * @return what they say
+     * @param values all values of the field, none if the response lacks it
+     * @return the parsed signal
      */
     static LimitSignal of(List<String> values) {
         if (values.isEmpty()) {
@@ -24,30 +25,30 @@
         }
         OptionalDouble perSecond = FieldNumber.readable(values).min();
         return perSecond.isPresent()
-                ? new Named(Math.min(Named.MOST, perSecond.getAsDouble()))
+                ? new Named(Math.min(Named.MAX_PER_SECOND, perSecond.getAsDouble()))
                 : new Unreadable(values.get(0));
     }
 
-    /** The answer has no such field. */
+    /** The response has no limit field. */
     record Absent() implements LimitSignal {}
 
     /**
-     * The upstream names a limit.
+     * The upstream announces a limit.
      *
-     * @param perSecond requests a second, zero or more
+     * @param perSecond requests per second, zero or more
      */
     record Named(double perSecond) implements LimitSignal {
-        /** No upstream gets more; larger limits are as good as none. */
-        private static final double MOST = 1e6;
+        /** Upper bound; larger limits are equivalent to none. */
+        private static final double MAX_PER_SECOND = 1e6;
     }
 
     /**
-     * The field holds no number.
+     * The field contains no number.
      *
-     * @param text what it holds
+     * @param text its value
      */
     record Unreadable(String text) implements LimitSignal {
-        /** Cuts long texts off. */
+        /** Truncates long values. */
         public Unreadable {
             text = FieldNumber.shortened(text);
         }
--- a/library/src/main/java/org/copperspindle/backpressure/PermitRequestMessage.java
+++ b/library/src/main/java/org/copperspindle/backpressure/PermitRequestMessage.java
@@ -6,20 +6,20 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * Asks the keeper of an upstream for a permit to send it one request.
+ * Requests a permit to send one request to an upstream from the owner of its limit.
  *
- * @param number      number of the question at the node that asks
- * @param upstream    id of the upstream
- * @param longestWait milliseconds after which the permit must be valid
+ * @param number        number of the request at the requesting node
+ * @param upstream      id of the upstream
+ * @param maxWaitMillis milliseconds within which the permit must become valid
  */
-public record PermitRequestMessage(long number, String upstream, long longestWait) implements WireMessage {
+public record PermitRequestMessage(long number, String upstream, long maxWaitMillis) implements WireMessage {
 
     /** Codec of this message. */
     public static final MessageCodec<PermitRequestMessage> CODEC =
             MessageCodec.of(228, PermitRequestMessage.class, PermitRequestMessage::write, PermitRequestMessage::read);
 
     private void write(FieldWriter out) {
-        out.put(1, number).put(2, upstream).put(3, longestWait);
+        out.put(1, number).put(2, upstream).put(3, maxWaitMillis);
     }
 
     private static PermitRequestMessage read(FieldReader in) {
--- a/library/src/main/java/org/copperspindle/backpressure/PermitResponseMessage.java
+++ b/library/src/main/java/org/copperspindle/backpressure/PermitResponseMessage.java
@@ -6,11 +6,11 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * Answers the question for a permit.
+ * Response to a permit request.
  *
- * @param number  number of the question
- * @param granted whether the permit is given
- * @param micros  microseconds from now on until it is valid, or, if it is not given, until one could be
+ * @param number  number of the request
+ * @param granted whether the permit is granted
+ * @param micros  microseconds until the permit is valid or, if it is not granted, until one could be
  */
 public record PermitResponseMessage(long number, boolean granted, long micros) implements WireMessage {
 
@@ -24,7 +24,8 @@
         if (result instanceof PermitResult.Granted granted) {
             return new PermitResponseMessage(number, true, granted.delayNanos() / NANOS_PER_MICRO);
         }
-        return new PermitResponseMessage(number, false, ((PermitResult.Denied) result).freeNanos() / NANOS_PER_MICRO);
+        return new PermitResponseMessage(
+                number, false, ((PermitResult.Denied) result).retryAfterNanos() / NANOS_PER_MICRO);
     }
 
     PermitResult result() {
--- a/library/src/main/java/org/copperspindle/backpressure/PermitResult.java
+++ b/library/src/main/java/org/copperspindle/backpressure/PermitResult.java
@@ -1,21 +1,21 @@
 package org.copperspindle.backpressure;
 
 /**
- * Whether, and when, a request may be sent to an upstream that has named a limit.
+ * The result of a permit request for an upstream with a limit: whether and when a request may be sent.
  */
 public sealed interface PermitResult {
 
     /**
-     * It may be sent.
+     * The request may be sent.
      *
-     * @param delayNanos nanoseconds from now on; 0 for at once
+     * @param delayNanos nanoseconds from now; 0 for at once
      */
     record Granted(long delayNanos) implements PermitResult {}
 
     /**
-     * It may not be sent in the time that was asked for.
+     * The request may not be sent within the requested time.
      *
-     * @param freeNanos nanoseconds until another question has better prospects
+     * @param retryAfterNanos nanoseconds until a new permit request is worthwhile
      */
-    record Denied(long freeNanos) implements PermitResult {}
+    record Denied(long retryAfterNanos) implements PermitResult {}
 }
--- a/library/src/main/java/org/copperspindle/backpressure/SendPermits.java
+++ b/library/src/main/java/org/copperspindle/backpressure/SendPermits.java
@@ -15,62 +15,65 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * Permits to send to upstreams that have named a limit. For each such upstream one node keeps the limit for all and gives out one
- * permit for each request, so that the sum over all nodes is bounded however many there are, and any of them may use what is
- * there. A node that gets no answer goes without. Network thread only.
+ * Permits for requests to upstreams that announced a limit. For each such upstream one node owns the limit and grants
+ * one permit per request, so that the sum over all nodes is bounded however many there are, and any of them may use
+ * the available rate. A node that gets no response does not send. Network thread only.
  */
 public final class SendPermits {
 
     private static final Logger LOGGER = LogManager.getLogger(SendPermits.class);
 
-    /** A keeper that has not answered by then stands still or is cut off; an answer takes a few milliseconds. */
-    private static final long ANSWER_NANOS = Duration.ofMillis(60).toNanos();
+    /**
+     * Timeout of a permit request: an owner that has not responded by then is paused or isolated; a response takes a
+     * few milliseconds.
+     */
+    private static final long RESPONSE_TIMEOUT_NANOS = Duration.ofMillis(60).toNanos();
 
-    /** After that, and while it is not known who keeps the upstream, it is asked for again. */
-    private static final long ASK_AGAIN_NANOS = Duration.ofMillis(250).toNanos();
+    /** Delay of the next permit request after a timeout, or while the owner of the limit is unknown. */
+    private static final long RETRY_NANOS = Duration.ofMillis(250).toNanos();
 
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
     private final UpstreamLimits limits;
-    private final LimitOwnerSelector keepers;
+    private final LimitOwnerSelector owners;
     private final Link link;
     private final TimerService timers;
     private final SendSlots slots = new SendSlots();
     private final Map<String, Long> deniedUntil = new HashMap<>();
-    private final Map<Long, Question> open = new HashMap<>();
+    private final Map<Long, PendingRequest> pending = new HashMap<>();
     private long lastNumber;
     private long unanswered;
 
     /**
-     * Creates it.
+     * Creates the permits of this node.
      *
-     * @param limits  the limits
-     * @param keepers who keeps them
-     * @param link    reaches other nodes
-     * @param timers  time on the network thread
+     * @param limits the limits
+     * @param owners selects the owners of the limits
+     * @param link   sends to other nodes
+     * @param timers timers of the network thread
      */
-    public SendPermits(UpstreamLimits limits, LimitOwnerSelector keepers, Link link, TimerService timers) {
+    public SendPermits(UpstreamLimits limits, LimitOwnerSelector owners, Link link, TimerService timers) {
         this.limits = limits;
-        this.keepers = keepers;
+        this.owners = owners;
         this.link = link;
         this.timers = timers;
     }
 
     /**
-     * Says whether requests to an upstream need a permit.
+     * Returns whether requests to an upstream need a permit.
      *
      * @param upstream its id
-     * @return false if it takes whatever comes
+     * @return false if it has no limit
      */
     public boolean isNeeded(String upstream) {
         return limits.find(upstream).isPresent();
     }
 
     /**
-     * Returns how far apart the requests of all nodes to an upstream are.
+     * Returns the interval between requests of all nodes to an upstream.
      *
      * @param upstream its id
-     * @return nanoseconds; 0 if it takes whatever comes, also if its limit has ended meanwhile
+     * @return nanoseconds; 0 if it has no limit, or no longer has one
      */
     public long spacingNanos(String upstream) {
         OptionalDouble perSecond = limits.find(upstream);
@@ -78,7 +81,7 @@
     }
 
     /**
-     * Says whether any upstream needs permits.
+     * Returns whether any upstream needs permits.
      *
      * @return false while none has a limit
      */
@@ -87,10 +90,10 @@
     }
 
     /**
-     * Returns how long it makes no sense to ask for a permit.
+     * Returns how long permit requests for an upstream are not worthwhile.
      *
      * @param upstream id of the upstream
-     * @return nanoseconds; 0 if a permit may be had, or is not needed
+     * @return nanoseconds; 0 if a permit may be available or is not needed
      */
     public long deniedNanos(String upstream) {
         Long until = deniedUntil.get(upstream);
@@ -98,142 +101,146 @@
     }
 
     /**
-     * Asks for a permit. The answer may come before this returns.
+     * Requests a permit. The callback may be called before this method returns.
      *
-     * @param upstream    id of the upstream
-     * @param longestWait nanoseconds after which the permit must be valid
-     * @param callback    told once
+     * @param upstream     id of the upstream
+     * @param maxWaitNanos nanoseconds within which the permit must become valid
+     * @param callback     called once with the result
      */
-    public void requestPermit(String upstream, long longestWait, Consumer<PermitResult> callback) {
-        Question question = new Question(upstream, callback);
-        Optional<String> keeper = keepers.owner(upstream);
-        if (keeper.filter(link.self()::equals).isPresent()) {
-            question.end(give(upstream, longestWait));
+    public void requestPermit(String upstream, long maxWaitNanos, Consumer<PermitResult> callback) {
+        PendingRequest request = new PendingRequest(upstream, callback);
+        Optional<String> owner = owners.owner(upstream);
+        if (owner.filter(link.self()::equals).isPresent()) {
+            request.complete(grant(upstream, maxWaitNanos));
             return;
         }
         long number = ++lastNumber;
-        PermitRequestMessage message = new PermitRequestMessage(number, upstream, longestWait / NANOS_PER_MILLI);
-        if (keeper.isEmpty() || !link.send(keeper.get(), message)) {
-            question.end(new PermitResult.Denied(ASK_AGAIN_NANOS));
+        PermitRequestMessage message = new PermitRequestMessage(number, upstream, maxWaitNanos / NANOS_PER_MILLI);
+        if (owner.isEmpty() || !link.send(owner.get(), message)) {
+            request.complete(new PermitResult.Denied(RETRY_NANOS));
             return;
         }
-        open.put(number, question);
-        question.timeout = timers.schedule(ANSWER_NANOS, () -> missed(number, keeper.get()));
+        pending.put(number, request);
+        request.timeout = timers.schedule(RESPONSE_TIMEOUT_NANOS, () -> onTimeout(number, owner.get()));
     }
 
     /**
-     * Says whether this node keeps an upstream itself and may send to it now.
+     * Returns whether this node owns the limit of an upstream and may send to it now.
      *
      * @param upstream its id
      * @return true also if no permit is needed
      */
     public boolean mayTake(String upstream) {
         return !isNeeded(upstream)
-                || keeps(upstream) && slots.waitNanos(upstream, spacingNanos(upstream), timers.nanoTime()) == 0;
+                || isOwner(upstream) && slots.waitNanos(upstream, spacingNanos(upstream), timers.nanoTime()) == 0;
     }
 
     /**
-     * Takes a permit that {@link #mayTake} says can be had.
+     * Takes a permit that is available according to {@link #mayTake}.
      *
      * @param upstream id of the upstream
      */
     public void take(String upstream) {
         if (isNeeded(upstream)) {
-            give(upstream, 0);
+            grant(upstream, 0);
         }
     }
 
     /**
-     * Takes a message of another node.
+     * Handles a message of another node.
      *
      * @param node    its name
-     * @param message the message; others than questions and answers for permits are left alone
+     * @param message the message; all but permit requests and responses are ignored
      */
     public void onMessage(String node, WireMessage message) {
-        if (message instanceof PermitRequestMessage ask) {
-            // A node that sees other nodes asks the wrong one for a moment: two keepers would give out twice what there
-            // is.
-            PermitResult result = keeps(ask.upstream())
-                    ? give(ask.upstream(), ask.longestWait() * NANOS_PER_MILLI)
-                    : new PermitResult.Denied(ASK_AGAIN_NANOS);
-            link.send(node, PermitResponseMessage.of(ask.number(), result));
-        } else if (message instanceof PermitResponseMessage answer) {
-            Optional.ofNullable(open.remove(answer.number())).ifPresent(question -> question.end(answer.result()));
+        if (message instanceof PermitRequestMessage request) {
+            // A node with a different view of the mesh may ask the wrong node for a moment; two owners would grant
+            // twice the limit.
+            PermitResult result = isOwner(request.upstream())
+                    ? grant(request.upstream(), request.maxWaitMillis() * NANOS_PER_MILLI)
+                    : new PermitResult.Denied(RETRY_NANOS);
+            link.send(node, PermitResponseMessage.of(request.number(), result));
+        } else if (message instanceof PermitResponseMessage response) {
+            Optional.ofNullable(pending.remove(response.number()))
+                    .ifPresent(request -> request.complete(response.result()));
         }
     }
 
-    /** Forgets limits that are over, and what this node gave out for upstreams that another one keeps now; to be called often. */
+    /**
+     * Removes limits that have ended, and the state of upstreams whose limits another node owns now. To be called
+     * periodically.
+     */
     public void removeStale() {
         limits.removeStale(timers.nanoTime());
-        slots.forgetIf(upstream -> !isNeeded(upstream) || !keeps(upstream));
+        slots.forgetIf(upstream -> !isNeeded(upstream) || !isOwner(upstream));
         deniedUntil.keySet().removeIf(upstream -> deniedNanos(upstream) == 0);
     }
 
     /**
-     * Returns how many questions got no answer.
+     * Returns the number of permit requests without a response.
      *
-     * @return a count since the start
+     * @return the number since the start
      */
     public long unanswered() {
         return unanswered;
     }
 
-    /** Gives a permit for an upstream that this node keeps. */
-    private PermitResult give(String upstream, long longestWait) {
+    /** Grants a permit for an upstream whose limit this node owns. */
+    private PermitResult grant(String upstream, long maxWaitNanos) {
         long now = timers.nanoTime();
-        OptionalLong wait = slots.reserve(upstream, spacingNanos(upstream), longestWait, now);
+        OptionalLong wait = slots.reserve(upstream, spacingNanos(upstream), maxWaitNanos, now);
         return wait.isPresent()
                 ? new PermitResult.Granted(wait.getAsLong())
                 : new PermitResult.Denied(slots.waitNanos(upstream, spacingNanos(upstream), now));
     }
 
-    private boolean keeps(String upstream) {
-        return keepers.owner(upstream).filter(link.self()::equals).isPresent();
+    private boolean isOwner(String upstream) {
+        return owners.owner(upstream).filter(link.self()::equals).isPresent();
     }
 
-    private void missed(long number, String keeper) {
-        Question question = open.remove(number);
-        if (question != null) {
+    private void onTimeout(long number, String owner) {
+        PendingRequest request = pending.remove(number);
+        if (request != null) {
             unanswered++;
-            LOGGER.debug("event=permit-unanswered upstream={} keeper={}", question.upstream, keeper);
-            question.end(new PermitResult.Denied(ASK_AGAIN_NANOS));
+            LOGGER.debug("event=permit-unanswered upstream={} keeper={}", request.upstream, owner);
+            request.complete(new PermitResult.Denied(RETRY_NANOS));
         }
     }
 
-    /** Reaches other nodes. */
+    /** Sends messages to other nodes. */
     public interface Link {
         /**
          * Returns the name of this node.
          *
-         * @return as {@link LimitOwnerSelector} gives it
+         * @return the name that {@link LimitOwnerSelector} returns
          */
         String self();
 
         /**
          * Sends a message.
          *
-         * @param node    name of the node that it is for
+         * @param node    name of the receiving node
          * @param message the message
-         * @return false if there is no way
+         * @return false if the node cannot be reached
          */
         boolean send(String node, WireMessage message);
     }
 
-    /** A question that waits for its answer. */
-    private final class Question {
+    /** A permit request that waits for its response. */
+    private final class PendingRequest {
         private final String upstream;
         private final Consumer<PermitResult> callback;
         private TimerSubscription timeout = () -> {};
 
-        private Question(String upstream, Consumer<PermitResult> callback) {
+        private PendingRequest(String upstream, Consumer<PermitResult> callback) {
             this.upstream = upstream;
             this.callback = callback;
         }
 
-        private void end(PermitResult result) {
+        private void complete(PermitResult result) {
             timeout.cancel();
             if (result instanceof PermitResult.Denied denied) {
-                deniedUntil.put(upstream, timers.nanoTime() + denied.freeNanos());
+                deniedUntil.put(upstream, timers.nanoTime() + denied.retryAfterNanos());
             }
             callback.accept(result);
         }
--- a/library/src/main/java/org/copperspindle/backpressure/UpstreamBackoffs.java
+++ b/library/src/main/java/org/copperspindle/backpressure/UpstreamBackoffs.java
@@ -11,28 +11,31 @@
 import org.copperspindle.measure.DecisionLog;
 
 /**
- * Upstreams that want nothing from this node for a while. Each asks every node by itself, so that other nodes are not told.
- * Network thread only.
+ * Upstreams that requested a backoff from this node. Each upstream asks every node separately, so backoffs are not
+ * sent to other nodes. Network thread only.
  */
 public final class UpstreamBackoffs {
 
     private static final Logger LOGGER = LogManager.getLogger(UpstreamBackoffs.class);
 
-    /** Requests that an upstream may have at first after its rest. All that was held back would else come in the same moment. */
-    private static final int FIRST_IN_FLIGHT = 1;
+    /**
+     * Concurrent requests that an upstream may get at first after its backoff. Otherwise all deferred requests would
+     * arrive at the same moment.
+     */
+    private static final int INITIAL_IN_FLIGHT = 1;
 
-    /** With so many requests taken after a rest an upstream is used as any other. */
-    private static final int LAST_IN_FLIGHT = 32;
+    /** Limit of concurrent requests above which an upstream is no longer limited after a backoff. */
+    private static final int MAX_LIMITED_IN_FLIGHT = 32;
 
     private final UpstreamDirectory directory;
     private final DecisionLog log;
-    private final Map<String, Rest> rests = new HashMap<>();
+    private final Map<String, Backoff> backoffs = new HashMap<>();
 
     /**
-     * Creates it without rests.
+     * Creates the table without backoffs.
      *
      * @param directory the upstreams
-     * @param log       bounds log lines
+     * @param log       limits the rate of log lines
      */
     public UpstreamBackoffs(UpstreamDirectory directory, DecisionLog log) {
         this.directory = directory;
@@ -41,116 +44,124 @@
     }
 
     /**
-     * Takes what an answer says.
+     * Handles the backoff signal of a response.
      *
-     * @param upstream id of the upstream that answered
-     * @param signal   what the answer says
-     * @param taken    whether the upstream took the request that it answers
+     * @param upstream id of the upstream that responded
+     * @param signal   the backoff signal of the response
+     * @param taken    whether the upstream accepted the request
      * @param now      monotonic time in nanoseconds
      */
     public void onResponse(String upstream, BackoffSignal signal, boolean taken, long now) {
-        if (signal instanceof BackoffSignal.Asked asked) {
-            asked(upstream, asked, now);
+        if (signal instanceof BackoffSignal.Asked requested) {
+            onBackoffRequested(upstream, requested, now);
         } else if (signal instanceof BackoffSignal.Absent && taken) {
-            recovers(upstream, now);
+            onRequestTaken(upstream, now);
         } else if (signal instanceof BackoffSignal.Unreadable unreadable && log.takesFailed(now)) {
             LOGGER.warn("event=upstream-rest-unreadable upstream={} value=\"{}\"", upstream, unreadable.text());
         }
     }
 
     /**
-     * Returns how long an upstream still wants nothing from this node.
+     * Returns the remaining backoff of an upstream.
      *
      * @param upstream its id
      * @param now      monotonic time in nanoseconds
-     * @return nanoseconds; 0 if it takes requests
+     * @return nanoseconds; 0 if it accepts requests
      */
     public long backoffNanos(String upstream, long now) {
-        Rest rest = rests.get(upstream);
-        return rest == null ? 0 : Math.max(0, rest.until() - now);
+        Backoff backoff = backoffs.get(upstream);
+        return backoff == null ? 0 : Math.max(0, backoff.until() - now);
     }
 
     /**
-     * Says whether an upstream takes one more request of this node. After a rest it gets one at a time first, and twice as many
-     * with each that it takes.
+     * Returns whether an upstream may get one more request of this node. After a backoff it gets one request at a
+     * time, and the limit doubles with each request that it accepts.
      *
      * @param upstream its id
-     * @param inFlight how many it has
+     * @param inFlight number of requests that it has
      * @param now      monotonic time in nanoseconds
-     * @return false while it rests or has what it may have so soon after
+     * @return false during the backoff, or if it has as many requests as it may have after it
      */
     public boolean mayTake(String upstream, int inFlight, long now) {
-        Rest rest = rests.get(upstream);
-        return rest == null || rest.until() - now <= 0 && inFlight < rest.mostInFlight();
+        Backoff backoff = backoffs.get(upstream);
+        return backoff == null || backoff.until() - now <= 0 && inFlight < backoff.maxInFlight();
     }
 
     /**
-     * Says whether any upstream rests or has just had a rest.
+     * Returns whether any upstream is in a backoff or recovering from one.
      *
-     * @return false if all take whatever comes
+     * @return false if none is limited
      */
     public boolean isAnyKnown() {
-        return !rests.isEmpty();
+        return !backoffs.isEmpty();
     }
 
     /**
-     * Counts the upstreams that are at rest.
+     * Returns the number of upstreams in a backoff.
      *
      * @param now monotonic time in nanoseconds
-     * @return a count
+     * @return the number of upstreams
      */
     public long count(long now) {
-        return rests.values().stream().filter(rest -> rest.until() - now > 0).count();
+        return backoffs.values().stream()
+                .filter(backoff -> backoff.until() - now > 0)
+                .count();
     }
 
-    /** Forgets upstreams that fell silent: they leave the directory without a word. To be called often. */
+    /**
+     * Removes upstreams that are no longer in the directory, which drops silent ones without notifying its listeners.
+     * To be called periodically.
+     */
     public void removeStale() {
-        rests.keySet().removeIf(upstream -> directory.find(upstream).isEmpty());
+        backoffs.keySet().removeIf(upstream -> directory.find(upstream).isEmpty());
     }
 
-    private void asked(String upstream, BackoffSignal.Asked asked, long now) {
+    private void onBackoffRequested(String upstream, BackoffSignal.Asked requested, long now) {
         Optional<UpstreamRecord> known = directory.find(upstream);
         if (known.isEmpty()) {
             return;
         }
-        // Answers overtake each other: a shorter rest that is read later does not end a longer one.
-        long until = now + Math.max(asked.rest().toNanos(), backoffNanos(upstream, now));
-        rests.put(upstream, new Rest(until, known.get().incarnation(), FIRST_IN_FLIGHT));
+        // Responses can arrive out of order: a shorter backoff that is read later does not end a longer one.
+        long until = now + Math.max(requested.duration().toNanos(), backoffNanos(upstream, now));
+        backoffs.put(upstream, new Backoff(until, known.get().incarnation(), INITIAL_IN_FLIGHT));
         if (log.takesFailed(now)) {
             LOGGER.info(
                     "event=upstream-rest upstream={} rest_ms={}",
                     upstream,
-                    asked.rest().toMillis());
+                    requested.duration().toMillis());
         }
     }
 
-    /** Notes that an upstream took a request; one that was sent before the rest shows nothing while it lasts. */
-    private void recovers(String upstream, long now) {
-        Rest rest = rests.get(upstream);
-        if (rest == null || rest.until() - now > 0) {
+    /**
+     * Records that an upstream accepted a request; during a backoff this says nothing, since the request was sent
+     * before it.
+     */
+    private void onRequestTaken(String upstream, long now) {
+        Backoff backoff = backoffs.get(upstream);
+        if (backoff == null || backoff.until() - now > 0) {
             return;
         }
-        int most = rest.mostInFlight() * 2;
-        if (most > LAST_IN_FLIGHT) {
-            rests.remove(upstream);
+        int max = backoff.maxInFlight() * 2;
+        if (max > MAX_LIMITED_IN_FLIGHT) {
+            backoffs.remove(upstream);
         } else {
-            rests.put(upstream, new Rest(rest.until(), rest.incarnation(), most));
+            backoffs.put(upstream, new Backoff(backoff.until(), backoff.incarnation(), max));
         }
     }
 
-    private void upstreamChanged(UpstreamRecord news) {
-        Rest rest = rests.get(news.id());
-        if (rest != null && news.endsIncarnation(rest.incarnation())) {
-            rests.remove(news.id());
+    private void upstreamChanged(UpstreamRecord changed) {
+        Backoff backoff = backoffs.get(changed.id());
+        if (backoff != null && changed.endsIncarnation(backoff.incarnation())) {
+            backoffs.remove(changed.id());
         }
     }
 
     /**
-     * A rest.
+     * A backoff of an upstream.
      *
-     * @param until        when it ends, monotonic time in nanoseconds
-     * @param incarnation  life of the upstream that asked for it
-     * @param mostInFlight requests that the upstream may have after it
+     * @param until       when it ends, monotonic time in nanoseconds
+     * @param incarnation incarnation of the upstream that requested it
+     * @param maxInFlight concurrent requests that the upstream may get after it
      */
-    private record Rest(long until, long incarnation, int mostInFlight) {}
+    private record Backoff(long until, long incarnation, int maxInFlight) {}
 }
--- a/library/src/main/java/org/copperspindle/backpressure/UpstreamLimits.java
+++ b/library/src/main/java/org/copperspindle/backpressure/UpstreamLimits.java
@@ -16,15 +16,16 @@
 import org.copperspindle.measure.DecisionLog;
 
 /**
- * The limits that upstreams have named, to this node or to others. A limit holds until an answer to a call that was sent later
- * lacks it, or until the upstream leaves or starts again. Network thread only.
+ * The limits that upstreams have announced to this node or to others. A limit is valid until a response to a call
+ * that was sent later lacks it, or until the upstream leaves or restarts. Network thread only.
  */
 public final class UpstreamLimits {
 
     private static final Logger LOGGER = LogManager.getLogger(UpstreamLimits.class);
 
-    /** That a limit has ended is remembered for longer than news of it may be on their way. */
-    private static final long REMEMBERED_NANOS = Duration.ofSeconds(10).toNanos();
+    /** How long the end of a limit is remembered: longer than records of the limit can be in transit. */
+    private static final long ENDED_LIMIT_RETENTION_NANOS =
+            Duration.ofSeconds(10).toNanos();
 
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
@@ -34,10 +35,10 @@
     private final List<Consumer<String>> listeners = new ArrayList<>();
 
     /**
-     * Creates it without limits.
+     * Creates the table without limits.
      *
      * @param directory the upstreams
-     * @param log       bounds log lines
+     * @param log       limits the rate of log lines
      */
     public UpstreamLimits(UpstreamDirectory directory, DecisionLog log) {
         this.directory = directory;
@@ -48,25 +49,25 @@
     /**
      * Adds a listener.
      *
-     * @param listener told the id of an upstream whose answer to this node has changed what is known
+     * @param listener is called with the id of an upstream whose response to this node changed its limit
      */
     public void subscribe(Consumer<String> listener) {
         listeners.add(listener);
     }
 
     /**
-     * Takes what an answer says.
+     * Handles the limit signal of a response.
      *
-     * @param upstream id of the upstream that answered
-     * @param signal   what the answer says
-     * @param sentAt   when the call was sent that it answers, monotonic time in nanoseconds
+     * @param upstream id of the upstream that responded
+     * @param signal   the limit signal of the response
+     * @param sentAt   when the call was sent, monotonic time in nanoseconds
      * @param now      monotonic time in nanoseconds
      */
     public void onResponse(String upstream, LimitSignal signal, long sentAt, long now) {
         if (signal instanceof LimitSignal.Named named) {
-            stated(upstream, OptionalDouble.of(named.perSecond()), now);
-        } else if (signal instanceof LimitSignal.Absent && isOvertakenBy(upstream, sentAt)) {
-            stated(upstream, OptionalDouble.empty(), now);
+            onAnnouncement(upstream, OptionalDouble.of(named.perSecond()), now);
+        } else if (signal instanceof LimitSignal.Absent && isOutdatedBy(upstream, sentAt)) {
+            onAnnouncement(upstream, OptionalDouble.empty(), now);
         } else if (signal instanceof LimitSignal.Unreadable unreadable && log.takesFailed(now)) {
             LOGGER.warn("event=upstream-limit-unreadable upstream={} value=\"{}\"", upstream, unreadable.text());
         }
@@ -76,22 +77,22 @@
      * Returns the limit of an upstream.
      *
      * @param upstream its id
-     * @return requests a second from all nodes together; empty if it has none
+     * @return requests per second from all nodes together; empty if it has none
      */
     public OptionalDouble find(String upstream) {
         Limit limit = limits.get(upstream);
         return limit == null ? OptionalDouble.empty() : limit.perSecond();
     }
 
-    /** Says whether any upstream has, or had a short while ago, a limit. */
+    /** Returns whether any upstream has a limit or had one recently. */
     boolean isAnyKnown() {
         return !limits.isEmpty();
     }
 
     /**
-     * Counts the upstreams that have a limit.
+     * Returns the number of upstreams that have a limit.
      *
-     * @return a count
+     * @return the number of upstreams
      */
     public int count() {
         return (int) limits.values().stream()
@@ -99,33 +100,33 @@
                 .count();
     }
 
-    /** Takes what another node has read, unless something later is known. */
-    void told(LimitRecord news, long now) {
-        long statedAt = now - news.ageMillis() * NANOS_PER_MILLI;
-        Limit before = limits.get(news.upstream());
-        boolean isLate = before != null && before.statedAt() - statedAt > 0;
-        boolean isOfThisLife = directory
-                .find(news.upstream())
-                .filter(known -> known.incarnation() == news.incarnation())
+    /** Handles a limit that another node received, unless a later one is known. */
+    void onRecord(LimitRecord received, long now) {
+        long announcedAt = now - received.ageMillis() * NANOS_PER_MILLI;
+        Limit before = limits.get(received.upstream());
+        boolean isLate = before != null && before.announcedAt() - announcedAt > 0;
+        boolean isCurrentIncarnation = directory
+                .find(received.upstream())
+                .filter(known -> known.incarnation() == received.incarnation())
                 .isPresent();
-        if (isOfThisLife && !isLate) {
-            put(news.upstream(), new Limit(news.perSecond(), news.incarnation(), statedAt), "node");
+        if (isCurrentIncarnation && !isLate) {
+            put(received.upstream(), new Limit(received.perSecond(), received.incarnation(), announcedAt), "node");
         }
     }
 
-    /** Returns what is known of an upstream, for other nodes. */
-    Optional<LimitRecord> news(String upstream, long now) {
-        return Optional.ofNullable(limits.get(upstream)).map(limit -> limit.news(upstream, now));
+    /** Returns the limit of an upstream as a record for other nodes. */
+    Optional<LimitRecord> findRecord(String upstream, long now) {
+        return Optional.ofNullable(limits.get(upstream)).map(limit -> limit.toRecord(upstream, now));
     }
 
-    /** Returns all limits, for a node that has just come. */
+    /** Returns all limits as records, for a node that has just joined. */
     List<LimitRecord> all(long now) {
         return limits.entrySet().stream()
-                .map(known -> known.getValue().news(known.getKey(), now))
+                .map(known -> known.getValue().toRecord(known.getKey(), now))
                 .toList();
     }
 
-    private void stated(String upstream, OptionalDouble perSecond, long now) {
+    private void onAnnouncement(String upstream, OptionalDouble perSecond, long now) {
         Optional<UpstreamRecord> known = directory.find(upstream);
         if (known.isEmpty()) {
             return;
@@ -136,13 +137,16 @@
         }
     }
 
-    /** Says whether an answer tells something later than what is known: one to an earlier call may have been written before. */
-    private boolean isOvertakenBy(String upstream, long sentAt) {
+    /**
+     * Returns whether a response without a limit ends the known limit: a response to an earlier call may have been
+     * written before the limit was set.
+     */
+    private boolean isOutdatedBy(String upstream, long sentAt) {
         Limit limit = limits.get(upstream);
-        return limit != null && limit.perSecond().isPresent() && sentAt - limit.statedAt() > 0;
+        return limit != null && limit.perSecond().isPresent() && sentAt - limit.announcedAt() > 0;
     }
 
-    /** Notes a limit or its end; returns whether that is new. */
+    /** Stores a limit or its end; returns whether it changed. */
     private boolean put(String upstream, Limit limit, String from) {
         OptionalDouble before = find(upstream);
         limits.put(upstream, limit);
@@ -152,44 +156,44 @@
         LOGGER.info(
                 "event=upstream-limit upstream={} per_second={} before={} from={}",
                 upstream,
-                text(limit.perSecond()),
-                text(before),
+                format(limit.perSecond()),
+                format(before),
                 from);
         return true;
     }
 
-    private void upstreamChanged(UpstreamRecord news) {
-        Limit limit = limits.get(news.id());
-        if (limit != null && news.endsIncarnation(limit.incarnation())) {
-            limits.remove(news.id());
-            LOGGER.info("event=upstream-limit-forgotten upstream={} phase={}", news.id(), news.phase());
+    private void upstreamChanged(UpstreamRecord changed) {
+        Limit limit = limits.get(changed.id());
+        if (limit != null && changed.endsIncarnation(limit.incarnation())) {
+            limits.remove(changed.id());
+            LOGGER.info("event=upstream-limit-forgotten upstream={} phase={}", changed.id(), changed.phase());
         }
     }
 
-    /** Forgets limits that ended a while ago, and those of upstreams that fell silent. */
+    /** Removes limits that ended a while ago and limits of upstreams that are no longer in the directory. */
     void removeStale(long now) {
         limits.entrySet().removeIf(known -> {
             Limit limit = known.getValue();
-            boolean isOld = limit.perSecond().isEmpty() && now - limit.statedAt() > REMEMBERED_NANOS;
-            // Upstreams that fell silent leave the directory without a word.
+            boolean isOld = limit.perSecond().isEmpty() && now - limit.announcedAt() > ENDED_LIMIT_RETENTION_NANOS;
+            // The directory drops silent upstreams without notifying its listeners.
             return isOld || directory.find(known.getKey()).isEmpty();
         });
     }
 
-    private static String text(OptionalDouble perSecond) {
+    private static String format(OptionalDouble perSecond) {
         return perSecond.isPresent() ? Double.toString(perSecond.getAsDouble()) : "none";
     }
 
     /**
-     * A limit, or its end.
+     * A limit or the end of one.
      *
-     * @param perSecond   requests a second from all nodes together; empty once the upstream names none any more
-     * @param incarnation life of the upstream that said so
-     * @param statedAt    when it said so last, monotonic time in nanoseconds
+     * @param perSecond   requests per second from all nodes together; empty if the upstream announces none any more
+     * @param incarnation incarnation of the upstream that announced it
+     * @param announcedAt when it was last announced, monotonic time in nanoseconds
      */
-    private record Limit(OptionalDouble perSecond, long incarnation, long statedAt) {
-        private LimitRecord news(String upstream, long now) {
-            return new LimitRecord(upstream, incarnation, perSecond, (now - statedAt) / NANOS_PER_MILLI);
+    private record Limit(OptionalDouble perSecond, long incarnation, long announcedAt) {
+        private LimitRecord toRecord(String upstream, long now) {
+            return new LimitRecord(upstream, incarnation, perSecond, (now - announcedAt) / NANOS_PER_MILLI);
         }
     }
 }
--- a/library/src/main/java/org/copperspindle/backpressure/package-info.java
+++ b/library/src/main/java/org/copperspindle/backpressure/package-info.java
@@ -1,4 +1,5 @@
 /**
- * What upstreams ask of the nodes in their answers while they are in need, and how all nodes together comply.
+ * Backpressure: rate limits and backoffs that upstreams announce in their responses, and how all nodes together
+ * comply with them.
  */
 package org.copperspindle.backpressure;
--- a/library/src/test/java/org/copperspindle/backpressure/BackoffSignalTest.java
+++ b/library/src/test/java/org/copperspindle/backpressure/BackoffSignalTest.java
@@ -14,13 +14,13 @@
 
     @ParameterizedTest
     @CsvSource({"3, 3000", "0.25, 250", "0, 0", "' 2 ', 2000", "999999999999, 3600000"})
-    void secondsAreARest(String value, long millis) {
+    void secondsAreABackoff(String value, long millis) {
         assertThat(BackoffSignal.of(List.of(value))).isEqualTo(new BackoffSignal.Asked(Duration.ofMillis(millis)));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", "-3", "NaN", "soon", "Wed, 21 Oct 2026 07:28:00 GMT", "1e3"})
-    void anythingElseAsksForNothing(String value) {
+    void anythingElseIsUnreadable(String value) {
         assertThat(BackoffSignal.of(List.of(value))).isInstanceOf(BackoffSignal.Unreadable.class);
     }
 
--- a/library/src/test/java/org/copperspindle/backpressure/LimitSignalTest.java
+++ b/library/src/test/java/org/copperspindle/backpressure/LimitSignalTest.java
@@ -20,7 +20,7 @@
     @ParameterizedTest
     @ValueSource(
             strings = {"", " ", "-1", "NaN", "Infinity", "1e3", "0x1p3", "1,5", "none", "1d", "99999999999999999999"})
-    void anythingElseSaysNothing(String value) {
+    void anythingElseIsUnreadable(String value) {
         assertThat(LimitSignal.of(List.of(value))).isInstanceOf(LimitSignal.Unreadable.class);
     }
 
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void answerWithoutTheFieldHasNoLimit() {
+    void responseWithoutTheFieldHasNoLimit() {
         assertThat(LimitSignal.of(List.of())).isEqualTo(LimitSignal.ABSENT);
     }
 }
--- a/library/src/test/java/org/copperspindle/backpressure/SendPermitsTest.java
+++ b/library/src/test/java/org/copperspindle/backpressure/SendPermitsTest.java
@@ -21,14 +21,15 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Nodes that all want one upstream with a limit, in virtual time. It counts what arrives in four seconds, as such an upstream does.
+ * Nodes that all send to one upstream with a limit, in virtual time. The test counts requests in windows of four
+ * seconds, as such an upstream does.
  */
 class SendPermitsTest {
 
     private static final long MILLI = 1_000_000L;
     private static final long SECOND = 1000 * MILLI;
     private static final long WINDOW = 4 * SECOND;
-    private static final long PLAYED = 14 * SECOND;
+    private static final long RUN_NANOS = 14 * SECOND;
     private static final long DELAY = 2 * MILLI;
     private static final String LIMITED = "u";
 
@@ -36,9 +37,12 @@
     private final List<Long> arrivals = new ArrayList<>();
     private final List<Node> nodes = new ArrayList<>();
     private Random random = new Random(1);
-    private Trouble trouble = Trouble.NONE;
+    private Disturbance disturbance = Disturbance.NONE;
 
-    /** Guards against a sum over all nodes that is beyond the limit, in any window and whatever happens to the nodes. */
+    /**
+     * Guards against a total over all nodes that exceeds the limit, in any window and under any disturbance of the
+     * nodes.
+     */
     @ParameterizedTest
     @CsvSource({
         "5, 1, NONE",
@@ -56,55 +60,55 @@
         "843, 1.3, HALVES",
         "34, 1, HEALING",
         "34, 30, HEALING",
-        "5, 1, KEEPER_RESTARTS",
-        "34, 1, KEEPER_RESTARTS",
-        "34, 30, KEEPER_RESTARTS",
-        "5, 1, KEEPER_STANDS_STILL",
-        "34, 30, KEEPER_STANDS_STILL",
+        "5, 1, OWNER_RESTARTS",
+        "34, 1, OWNER_RESTARTS",
+        "34, 30, OWNER_RESTARTS",
+        "5, 1, OWNER_IS_PAUSED",
+        "34, 30, OWNER_IS_PAUSED",
         "34, 1, NODES_JOIN",
         "300, 30, NODES_JOIN",
         "34, 1, NODES_LEAVE",
         "34, 30, NODES_LEAVE"
     })
-    void sumOverAllNodesIsBounded(int count, double perSecond, Trouble what) {
+    void sumOverAllNodesIsBounded(int count, double perSecond, Disturbance what) {
         int seeds = count > 100 ? 1 : 3;
         for (long seed = 1; seed <= seeds; seed++) {
-            play(count, perSecond, what, seed, 0);
+            run(count, perSecond, what, seed, 0);
             assertThat(BusiestWindow.count(arrivals, WINDOW))
                     .as("requests in four seconds, seed %d", seed)
                     .isLessThanOrEqualTo((int) (1.5 * perSecond * 4 + 5));
         }
     }
 
-    /** Guards against a bound that keeps requests away which the upstream takes, also where they come to few of the nodes. */
+    /** Guards against a bound that is too strict, also if the requests arrive at only a few of the nodes. */
     @ParameterizedTest
     @CsvSource({"5, 1, 0", "34, 1, 0", "34, 30, 0", "843, 1, 0", "843, 200, 0", "34, 4, 33", "843, 30, 840"})
     void limitIsUsed(int count, double perSecond, int idle) {
-        play(count, perSecond, Trouble.NONE, 1, idle);
-        long last = arrivals.stream().filter(at -> at >= PLAYED - WINDOW).count();
+        run(count, perSecond, Disturbance.NONE, 1, idle);
+        long last = arrivals.stream().filter(at -> at >= RUN_NANOS - WINDOW).count();
         assertThat(last).isGreaterThanOrEqualTo((long) (0.6 * perSecond * 4));
     }
 
-    /** Guards against a limit that was lowered and is kept to only once what was promised before is used up. */
+    /** Guards against a lowered limit that takes effect only after all earlier reservations have been used. */
     @Test
-    void lowerLimitHoldsSoon() {
-        start(34, 30, Trouble.NONE, 1, 0);
+    void lowerLimitTakesEffectSoon() {
+        start(34, 30, Disturbance.NONE, 1, 0);
         time.advance(6 * SECOND);
         long loweredAt = time.nanoTime();
-        nodes.forEach(node -> node.name(1));
+        nodes.forEach(node -> node.announceLimit(1));
         time.advance(8 * SECOND);
         arrivals.removeIf(at -> at < loweredAt - nodes.get(0).startedAt + 2 * SECOND);
         assertThat(BusiestWindow.count(arrivals, WINDOW)).isLessThanOrEqualTo(11);
     }
 
-    /** Guards against a keeper that waits for an answer which never comes: the request goes elsewhere. */
+    /** Guards against a node that waits for a response which never comes: the request must go elsewhere. */
     @Test
-    void keeperThatDoesNotAnswerDenies() {
-        start(5, 1, Trouble.NONE, 1, 5);
-        Node keeper =
+    void silentOwnerCausesDenial() {
+        start(5, 1, Disturbance.NONE, 1, 5);
+        Node owner =
                 nodes.get(Integer.parseInt(nodes.get(0).owner().orElseThrow().substring(1)));
-        keeper.standsStillUntil = Long.MAX_VALUE;
-        Node other = nodes.stream().filter(n -> n != keeper).findFirst().orElseThrow();
+        owner.pausedUntil = Long.MAX_VALUE;
+        Node other = nodes.stream().filter(n -> n != owner).findFirst().orElseThrow();
         List<PermitResult> results = new ArrayList<>();
         other.permits.requestPermit(LIMITED, SECOND, results::add);
         time.advance(SECOND);
@@ -112,64 +116,64 @@
         assertThat(other.permits.unanswered()).isEqualTo(1);
     }
 
-    private void play(int count, double perSecond, Trouble what, long seed, int idle) {
+    private void run(int count, double perSecond, Disturbance what, long seed, int idle) {
         start(count, perSecond, what, seed, idle);
-        time.advance(PLAYED);
+        time.advance(RUN_NANOS);
         nodes.forEach(node -> node.ended = true);
         time.advance(WINDOW);
     }
 
-    private void start(int count, double perSecond, Trouble what, long seed, int idle) {
+    private void start(int count, double perSecond, Disturbance what, long seed, int idle) {
         arrivals.clear();
         nodes.clear();
         random = new Random(seed);
-        trouble = what;
+        disturbance = what;
         for (int i = 0; i < count; i++) {
             nodes.add(new Node(i));
         }
-        nodes.forEach(node -> node.name(perSecond));
-        nodes.stream().skip(idle).forEach(Node::want);
-        if (what != Trouble.NONE) {
+        nodes.forEach(node -> node.announceLimit(perSecond));
+        nodes.stream().skip(idle).forEach(Node::sendWhenAllowed);
+        if (what != Disturbance.NONE) {
             time.schedule(SECOND, this::disturb);
         }
     }
 
-    /** Strikes the keeper, or whoever would be next, once a second. */
+    /** Disturbs the owner, or the node that would be next, every two seconds. */
     private void disturb() {
         if (nodes.get(0).ended) {
             return;
         }
-        Node keeper = nodes.stream()
-                .filter(node -> node.here && node.owner().equals(Optional.of(node.name)))
+        Node owner = nodes.stream()
+                .filter(node -> node.running && node.owner().equals(Optional.of(node.name)))
                 .findFirst()
                 .orElseThrow();
-        if (trouble == Trouble.KEEPER_RESTARTS) {
-            keeper.restart();
-        } else if (trouble == Trouble.KEEPER_STANDS_STILL) {
-            keeper.standsStillUntil = time.nanoTime() + 700 * MILLI;
-        } else if (trouble == Trouble.NODES_LEAVE
-                && nodes.stream().filter(node -> node.here).count() > 2) {
-            keeper.here = false;
-        } else if (trouble == Trouble.NODES_JOIN) {
+        if (disturbance == Disturbance.OWNER_RESTARTS) {
+            owner.restart();
+        } else if (disturbance == Disturbance.OWNER_IS_PAUSED) {
+            owner.pausedUntil = time.nanoTime() + 700 * MILLI;
+        } else if (disturbance == Disturbance.NODES_LEAVE
+                && nodes.stream().filter(node -> node.running).count() > 2) {
+            owner.running = false;
+        } else if (disturbance == Disturbance.NODES_JOIN) {
             nodes.add(new Node(nodes.size()));
-            nodes.get(nodes.size() - 1).name(keeper.limits.find(LIMITED).orElseThrow());
-            nodes.get(nodes.size() - 1).want();
+            nodes.get(nodes.size() - 1).announceLimit(owner.limits.find(LIMITED).orElseThrow());
+            nodes.get(nodes.size() - 1).sendWhenAllowed();
         }
         time.schedule(2 * SECOND, this::disturb);
     }
 
     /** What happens to the nodes. */
-    enum Trouble {
+    enum Disturbance {
         NONE,
         HALVES,
         HEALING,
-        KEEPER_RESTARTS,
-        KEEPER_STANDS_STILL,
+        OWNER_RESTARTS,
+        OWNER_IS_PAUSED,
         NODES_JOIN,
         NODES_LEAVE
     }
 
-    /** One node. */
+    /** A node of the mesh. */
     private final class Node implements SendPermits.Link {
         private final int number;
         private final String name;
@@ -177,9 +181,9 @@
         private final UpstreamDirectory directory = new UpstreamDirectory();
         private final UpstreamLimits limits = new UpstreamLimits(directory, new DecisionLog(0, 0));
         private SendPermits permits = new SendPermits(limits, upstream -> owner(), this, time);
-        private boolean here = true;
+        private boolean running = true;
         private boolean ended;
-        private long standsStillUntil;
+        private long pausedUntil;
 
         private Node(int number) {
             this.number = number;
@@ -201,15 +205,15 @@
         }
 
         private void arrive(Node other, WireMessage message) {
-            long left = other.standsStillUntil - time.nanoTime();
-            if (left > 0 && other.standsStillUntil != Long.MAX_VALUE) {
+            long left = other.pausedUntil - time.nanoTime();
+            if (left > 0 && other.pausedUntil != Long.MAX_VALUE) {
                 time.schedule(left, () -> arrive(other, message));
-            } else if (left <= 0 && other.here && sees(other)) {
+            } else if (left <= 0 && other.running && sees(other)) {
                 other.permits.onMessage(name, message);
             }
         }
 
-        private void name(double perSecond) {
+        private void announceLimit(double perSecond) {
             limits.onResponse(LIMITED, new LimitSignal.Named(perSecond), 0, time.nanoTime());
         }
 
@@ -225,24 +229,24 @@
         }
 
         private boolean sees(Node other) {
-            boolean parted = trouble == Trouble.HALVES
-                    || trouble == Trouble.HEALING && (time.nanoTime() / (3 * SECOND)) % 2 == 0;
-            return other.here && (!parted || number % 2 == other.number % 2);
+            boolean partitioned = disturbance == Disturbance.HALVES
+                    || disturbance == Disturbance.HEALING && (time.nanoTime() / (3 * SECOND)) % 2 == 0;
+            return other.running && (!partitioned || number % 2 == other.number % 2);
         }
 
-        /** Sends whenever it may; a request takes up to 20 ms to arrive. */
-        private void want() {
-            if (ended || !here) {
+        /** Sends whenever it has a permit; a request takes up to 20 ms to arrive. */
+        private void sendWhenAllowed() {
+            if (ended || !running) {
                 return;
             }
-            if (time.nanoTime() >= standsStillUntil && permits.deniedNanos(LIMITED) == 0) {
-                permits.requestPermit(LIMITED, random.nextInt(2) * SECOND, this::told);
+            if (time.nanoTime() >= pausedUntil && permits.deniedNanos(LIMITED) == 0) {
+                permits.requestPermit(LIMITED, random.nextInt(2) * SECOND, this::onResult);
             }
             permits.removeStale();
-            time.schedule((1 + random.nextInt(100)) * MILLI, this::want);
+            time.schedule((1 + random.nextInt(100)) * MILLI, this::sendWhenAllowed);
         }
 
-        private void told(PermitResult result) {
+        private void onResult(PermitResult result) {
             if (result instanceof PermitResult.Granted granted) {
                 arrivals.add(
                         time.nanoTime() - nodes.get(0).startedAt + granted.delayNanos() + random.nextInt(20) * MILLI);
--- a/library/src/test/java/org/copperspindle/backpressure/UpstreamBackoffsTest.java
+++ b/library/src/test/java/org/copperspindle/backpressure/UpstreamBackoffsTest.java
@@ -17,82 +17,82 @@
     private static final long SECOND = 1_000_000_000L;
 
     private final UpstreamDirectory directory = new UpstreamDirectory();
-    private final UpstreamBackoffs rests = new UpstreamBackoffs(directory, new DecisionLog(0, 0));
+    private final UpstreamBackoffs backoffs = new UpstreamBackoffs(directory, new DecisionLog(0, 0));
 
     UpstreamBackoffsTest() {
         announce(1, UpstreamPhase.READY);
     }
 
     @Test
-    void restEndsByItself() {
-        ask(3, 0);
-        assertThat(rests.mayTake("e", 0, SECOND)).isFalse();
-        assertThat(rests.backoffNanos("e", SECOND)).isEqualTo(2 * SECOND);
-        assertThat(rests.count(SECOND)).isEqualTo(1);
-        assertThat(rests.mayTake("e", 0, 3 * SECOND)).isTrue();
-        assertThat(rests.count(3 * SECOND)).isZero();
+    void backoffExpires() {
+        requestBackoff(3, 0);
+        assertThat(backoffs.mayTake("e", 0, SECOND)).isFalse();
+        assertThat(backoffs.backoffNanos("e", SECOND)).isEqualTo(2 * SECOND);
+        assertThat(backoffs.count(SECOND)).isEqualTo(1);
+        assertThat(backoffs.mayTake("e", 0, 3 * SECOND)).isTrue();
+        assertThat(backoffs.count(3 * SECOND)).isZero();
     }
 
-    /** Guards against answers that overtake each other: the longer rest holds whichever is read last. */
+    /** Guards against responses that arrive out of order: the longer backoff holds whichever is read last. */
     @Test
-    void shorterRestDoesNotEndALongerOne() {
-        ask(3, 0);
-        ask(1, SECOND);
-        assertThat(rests.backoffNanos("e", SECOND)).isEqualTo(2 * SECOND);
-        ask(5, SECOND);
-        assertThat(rests.backoffNanos("e", SECOND)).isEqualTo(5 * SECOND);
+    void shorterBackoffDoesNotEndALongerOne() {
+        requestBackoff(3, 0);
+        requestBackoff(1, SECOND);
+        assertThat(backoffs.backoffNanos("e", SECOND)).isEqualTo(2 * SECOND);
+        requestBackoff(5, SECOND);
+        assertThat(backoffs.backoffNanos("e", SECOND)).isEqualTo(5 * SECOND);
     }
 
-    /** Guards against an upstream that gets all that was held back in the moment in which its rest ends. */
+    /** Guards against an upstream that gets all deferred requests at the moment its backoff ends. */
     @Test
-    void requestsComeBackByAndBy() {
-        ask(3, 0);
+    void requestsIncreaseGradually() {
+        requestBackoff(3, 0);
         long now = 3 * SECOND;
         for (int most = 1; most <= 32; most *= 2) {
-            assertThat(rests.mayTake("e", most - 1, now)).isTrue();
-            assertThat(rests.mayTake("e", most, now)).isFalse();
-            rests.onResponse("e", BackoffSignal.ABSENT, true, now);
+            assertThat(backoffs.mayTake("e", most - 1, now)).isTrue();
+            assertThat(backoffs.mayTake("e", most, now)).isFalse();
+            backoffs.onResponse("e", BackoffSignal.ABSENT, true, now);
         }
-        assertThat(rests.mayTake("e", 1000, now)).isTrue();
+        assertThat(backoffs.mayTake("e", 1000, now)).isTrue();
     }
 
-    /** Guards against a rest that is cut short by the answer to a request which the upstream had before it. */
+    /** Guards against a backoff that is cut short by the response to a request that was sent before it. */
     @Test
-    void answerWithinTheRestShowsNothing() {
-        ask(3, 0);
-        rests.onResponse("e", BackoffSignal.ABSENT, true, SECOND);
-        assertThat(rests.mayTake("e", 0, SECOND)).isFalse();
-        assertThat(rests.mayTake("e", 1, 3 * SECOND)).isFalse();
+    void responseDuringTheBackoffIsIgnored() {
+        requestBackoff(3, 0);
+        backoffs.onResponse("e", BackoffSignal.ABSENT, true, SECOND);
+        assertThat(backoffs.mayTake("e", 0, SECOND)).isFalse();
+        assertThat(backoffs.mayTake("e", 1, 3 * SECOND)).isFalse();
     }
 
     @Test
-    void refusalAfterTheRestIsNoSignOfRecovery() {
-        ask(3, 0);
-        rests.onResponse("e", BackoffSignal.ABSENT, false, 3 * SECOND);
-        assertThat(rests.mayTake("e", 1, 3 * SECOND)).isFalse();
+    void refusalAfterTheBackoffIsNoRecovery() {
+        requestBackoff(3, 0);
+        backoffs.onResponse("e", BackoffSignal.ABSENT, false, 3 * SECOND);
+        assertThat(backoffs.mayTake("e", 1, 3 * SECOND)).isFalse();
     }
 
     @ParameterizedTest
     @EnumSource(names = {"READY", "GONE"})
-    void nextLifeHasNoRest(UpstreamPhase phase) {
-        ask(3, 0);
+    void nextIncarnationHasNoBackoff(UpstreamPhase phase) {
+        requestBackoff(3, 0);
         announce(phase == UpstreamPhase.READY ? 2 : 1, phase);
-        assertThat(rests.backoffNanos("e", 0)).isZero();
+        assertThat(backoffs.backoffNanos("e", 0)).isZero();
     }
 
-    /** Guards against state that grows with each upstream that crashes while it rests. */
+    /** Guards against state that grows with each upstream that crashes during a backoff. */
     @Test
     void silentUpstreamIsForgotten() {
-        ask(3, 0);
-        rests.removeStale();
-        assertThat(rests.isAnyKnown()).isTrue();
+        requestBackoff(3, 0);
+        backoffs.removeStale();
+        assertThat(backoffs.isAnyKnown()).isTrue();
         directory.forgetSilent(100 * SECOND);
-        rests.removeStale();
-        assertThat(rests.isAnyKnown()).isFalse();
+        backoffs.removeStale();
+        assertThat(backoffs.isAnyKnown()).isFalse();
     }
 
-    private void ask(int seconds, long now) {
-        rests.onResponse("e", new BackoffSignal.Asked(Duration.ofSeconds(seconds)), false, now);
+    private void requestBackoff(int seconds, long now) {
+        backoffs.onResponse("e", new BackoffSignal.Asked(Duration.ofSeconds(seconds)), false, now);
     }
 
     private void announce(long incarnation, UpstreamPhase phase) {
--- a/library/src/test/java/org/copperspindle/backpressure/UpstreamLimitsTest.java
+++ b/library/src/test/java/org/copperspindle/backpressure/UpstreamLimitsTest.java
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void limitHoldsUntilALaterAnswerLacksIt() {
+    void limitIsValidUntilALaterResponseLacksIt() {
         limits.onResponse("e", LIMIT, 0, 100);
         assertThat(limits.find("e")).isEqualTo(OptionalDouble.of(1.5));
         limits.onResponse("e", new LimitSignal.Named(2), 150, 200);
@@ -33,9 +33,12 @@
         assertThat(limits.find("e")).isEmpty();
     }
 
-    /** Answers without the limit that were written before it arrive after it: the upstream would be flooded again. */
+    /**
+     * Responses without a limit that were written before the limit was set arrive after it: the upstream would be
+     * overloaded again.
+     */
     @Test
-    void answerToAnEarlierCallDoesNotEndALimit() {
+    void responseToAnEarlierCallDoesNotEndALimit() {
         limits.onResponse("e", LIMIT, 0, 100);
         limits.onResponse("e", LimitSignal.ABSENT, 50, 300);
         assertThat(limits.find("e")).isPresent();
@@ -50,10 +53,13 @@
         assertThat(limits.find("e")).isPresent();
     }
 
-    /** The limit was one of a process that is gone; kept, it would hold back the next one for as long as nobody calls it. */
+    /**
+     * The limit belongs to a process that is gone; if kept, it would restrict the next one for as long as nobody
+     * calls it.
+     */
     @ParameterizedTest
     @EnumSource(names = {"READY", "GONE"})
-    void nextLifeHasNoLimit(UpstreamPhase phase) {
+    void nextIncarnationHasNoLimit(UpstreamPhase phase) {
         limits.onResponse("e", LIMIT, 0, 100);
         announce(phase == UpstreamPhase.READY ? 2 : 1, phase);
         assertThat(limits.find("e")).isEmpty();
@@ -61,12 +67,15 @@
     }
 
     @Test
-    void upstreamThatIsNotKnownHasNoLimit() {
+    void unknownUpstreamHasNoLimit() {
         limits.onResponse("other", LIMIT, 0, 100);
         assertThat(limits.count()).isZero();
     }
 
-    /** Guards against a node that goes on to look for upstreams in need, for each held request, after the last one has recovered. */
+    /**
+     * Guards against a node that keeps searching for limited upstreams for each deferred request after the last one
+     * has recovered.
+     */
     @Test
     void endedLimitIsForgotten() {
         limits.onResponse("e", LIMIT, 0, 100);
