--- a/library/src/main/java/org/copperspindle/coldstart/RecentSends.java
+++ b/library/src/main/java/org/copperspindle/coldstart/RecentSends.java
@@ -7,14 +7,14 @@
 import java.util.Map;
 
 /**
- * When this node last sent to each upstream. A window that slides by single sends: with buckets, two bursts at the edges of one
- * would pass.
+ * The times of this node's recent requests to each upstream, as a sliding window of single requests: with fixed
+ * buckets, two bursts at the edges of a bucket would pass.
  */
 final class RecentSends {
 
     /**
-     * Sends count for so long. Longer than the second for which upstreams count: two requests that left further apart than a second may
-     * arrive closer together.
+     * Length of the window. It is longer than the one second in which upstreams count, since two requests that were
+     * sent more than a second apart may arrive closer together.
      */
     private static final long WINDOW_NANOS = Duration.ofMillis(1200).toNanos();
 
@@ -25,7 +25,7 @@
         dropOld(times, now);
         times.addLast(now);
         if (sends.size() > 1 && times.size() == 1) {
-            sends.values().removeIf(others -> others != times && isOver(others, now));
+            sends.values().removeIf(others -> others != times && isExpired(others, now));
         }
     }
 
@@ -44,7 +44,7 @@
         }
     }
 
-    private static boolean isOver(Deque<Long> times, long now) {
+    private static boolean isExpired(Deque<Long> times, long now) {
         return times.isEmpty() || now - times.peekLast() >= WINDOW_NANOS;
     }
 }
--- a/library/src/main/java/org/copperspindle/coldstart/SenderSetAdmission.java
+++ b/library/src/main/java/org/copperspindle/coldstart/SenderSetAdmission.java
@@ -8,47 +8,50 @@
 import org.copperspindle.routing.RendezvousScore;
 
 /**
- * A cold upstream gets requests from a few nodes only, which all nodes choose alike by rendezvous, without asking anybody. All
- * nodes together send as much with few of them as with many, and one that is not among the senders finds another
- * upstream at once.
+ * Lets only a few nodes send to a cold upstream; all nodes choose the same senders by rendezvous hashing, without
+ * communicating. The total rate is the same with few nodes as with many, and a node that is not among the senders
+ * chooses another upstream at once.
  *
- * <p>Nodes that see different nodes choose different senders for a while. What the senders may send together is therefore half of
- * what would be too much, so that two parts of a divided deployment keep within it; a node that sees few others sends nothing.
+ * <p>Nodes with different views of the mesh choose different senders for a while. The senders together may therefore
+ * send only half of what would be too much, so that two sides of a network partition stay within the limit; a node
+ * that sees few others sends nothing.
  */
 public final class SenderSetAdmission implements ColdAdmission {
 
-    /** Part of what a cold upstream bears that the nodes use: twice that is below what ends it. */
-    private static final double USED = 0.75;
+    /**
+     * Share of the rate of a cold upstream that the nodes use: twice this share is below the load that crashes it.
+     */
+    private static final double USED_SHARE = 0.75;
 
     private final String self;
     private final Supplier<List<String>> others;
-    private final BooleanSupplier cutOff;
+    private final BooleanSupplier isolated;
     private final RecentSends sends = new RecentSends();
 
     /**
-     * Creates the rule.
+     * Creates the admission.
      *
-     * @param self   name of this node
-     * @param others names of the other nodes that serve
-     * @param cutOff says whether this node sees few of the nodes that were there a short while ago
+     * @param self     name of this node
+     * @param others   returns the names of the other serving nodes
+     * @param isolated returns whether this node sees only few of the nodes that it saw recently
      */
-    public SenderSetAdmission(String self, Supplier<List<String>> others, BooleanSupplier cutOff) {
+    public SenderSetAdmission(String self, Supplier<List<String>> others, BooleanSupplier isolated) {
         this.self = self;
         this.others = others;
-        this.cutOff = cutOff;
+        this.isolated = isolated;
     }
 
     @Override
     public boolean mayTake(String upstream, ColdLimits limits, long now) {
-        int all = (int) Math.max(1, USED * limits.perSecond());
+        int all = (int) Math.max(1, USED_SHARE * limits.perSecond());
         int sent = sends.count(upstream, now);
-        if (sent >= all || cutOff.getAsBoolean()) {
+        if (sent >= all || isolated.getAsBoolean()) {
             return false;
         }
         List<String> nodes = others.get();
         int senders = Math.min(all, nodes.size() + 1);
-        long rank = before(upstream, nodes);
-        // What does not divide evenly goes to the first senders.
+        long rank = rankOf(upstream, nodes);
+        // The remainder of the division goes to the first senders.
         int own = all / senders + (rank < all % senders ? 1 : 0);
         return rank < senders && sent < own;
     }
@@ -58,8 +61,8 @@
         sends.add(upstream, now);
     }
 
-    /** Returns how many nodes are rather to send to an upstream than this one. */
-    private long before(String upstream, List<String> nodes) {
+    /** Returns this node's rank among the senders to an upstream: the number of nodes that precede it. */
+    private long rankOf(String upstream, List<String> nodes) {
         long own = RendezvousScore.of(upstream, self);
         return nodes.stream()
                 .filter(node -> RendezvousScore.of(upstream, node) > own)
--- a/library/src/main/java/org/copperspindle/coldstart/package-info.java
+++ b/library/src/main/java/org/copperspindle/coldstart/package-info.java
@@ -1,5 +1,6 @@
 /**
- * What cold upstreams get. One that has just started, or came back from an evacuation, bears a few requests a second from all
- * nodes together, and ends well above that; it looks empty to every node in the same moment.
+ * Admission of requests to cold upstreams. An upstream that has just started or returned from an evacuation can take
+ * only a few requests per second from all nodes together and crashes well above that rate, but looks idle to every
+ * node at the same moment.
  */
 package org.copperspindle.coldstart;
--- a/library/src/test/java/org/copperspindle/coldstart/ColdAdmissionTest.java
+++ b/library/src/test/java/org/copperspindle/coldstart/ColdAdmissionTest.java
@@ -16,8 +16,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * A cold upstream and nodes that all want it, in virtual time. It counts what arrives in each second that slides, as such an upstream
- * does, and ends above half as much again as it bears and five more.
+ * A cold upstream and nodes that all send to it, in virtual time. The test counts requests in a sliding window of one
+ * second, as such an upstream does; it crashes above 1.5 times the rate that it can take plus five requests.
  */
 class ColdAdmissionTest {
 
@@ -31,9 +31,9 @@
     private final List<Long> arrivals = new ArrayList<>();
 
     /**
-     * A failure domain returns cold in a burst: all nodes see an empty upstream in the same moment, each would send what it has
-     * there, and it ends again. The nodes are all connected, parted in two halves that don't see each other, or parted and
-     * then connected again.
+     * A failure domain returns cold during a burst: all nodes see an idle upstream at the same moment, each would
+     * send all it has there, and the upstream would crash again. The nodes are all connected, split into two halves
+     * that don't see each other, or split and then connected again.
      */
     @ParameterizedTest
     @CsvSource({
@@ -50,32 +50,35 @@
         "300, 100, HEALING",
         "4, 60, HALVES"
     })
-    void coldUpstreamGetsWhatItBears(int count, double perSecond, View view) {
+    void coldUpstreamIsNotOverloaded(int count, double perSecond, View view) {
         for (long seed = 1; seed <= 5; seed++) {
             arrivals.clear();
-            play(count, perSecond, view, new Random(seed));
+            run(count, perSecond, view, new Random(seed));
             assertThat(BusiestWindow.count(arrivals, SECOND)).isLessThanOrEqualTo((int) (perSecond * OVERAGE + SLACK));
         }
     }
 
-    /** A cold upstream that the pool needs is used: from the first second on it gets a good part of what it bears. */
+    /**
+     * A cold upstream that the pool needs is used: within the first second it already gets a good part of the rate
+     * that it can take.
+     */
     @ParameterizedTest
     @CsvSource({"3, 18", "7, 18", "34, 18", "34, 100", "300, 18"})
     void coldUpstreamIsUsed(int count, double perSecond) {
-        play(count, perSecond, View.ALL, new Random(1));
+        run(count, perSecond, View.ALL, new Random(1));
         long first = arrivals.stream().filter(at -> at < SECOND).count();
         assertThat(first).isGreaterThanOrEqualTo((long) (perSecond / 2));
     }
 
-    /** A node that was cut off can't know what the others send. */
+    /** An isolated node can't know what the others send. */
     @Test
-    void nodeThatIsCutOffSendsNothing() {
+    void isolatedNodeSendsNothing() {
         ColdAdmission alone = new SenderSetAdmission("n0", List::of, () -> true);
         assertThat(alone.mayTake(COLD, new ColdLimits(Duration.ofSeconds(3), 18), 0))
                 .isFalse();
     }
 
-    /** What was sent before it was known that the upstream is cold counts as well. */
+    /** Requests that were sent before the upstream was known to be cold count as well. */
     @Test
     void earlierSendsCount() {
         ColdAdmission alone = new SenderSetAdmission("n0", List::of, () -> false);
@@ -85,20 +88,20 @@
         assertThat(alone.mayTake(COLD, limits, 2000 * MILLI)).isTrue();
     }
 
-    private void play(int count, double perSecond, View view, Random random) {
+    private void run(int count, double perSecond, View view, Random random) {
         long start = time.nanoTime();
         ColdLimits limits = new ColdLimits(Duration.ofSeconds(3), perSecond);
         for (int i = 0; i < count; i++) {
             int self = i;
             ColdAdmission admission =
                     new SenderSetAdmission("n" + i, () -> others(self, count, view, start), () -> false);
-            want(admission, limits, start, random);
+            sendWhenAllowed(admission, limits, start, random);
         }
         time.advance(4 * SECOND);
     }
 
-    /** Sends whenever the node may; a request takes up to a few milliseconds to arrive. */
-    private void want(ColdAdmission admission, ColdLimits limits, long start, Random random) {
+    /** Sends whenever the node may; a request takes up to 20 ms to arrive. */
+    private void sendWhenAllowed(ColdAdmission admission, ColdLimits limits, long start, Random random) {
         long now = time.nanoTime();
         if (now - start > 3 * SECOND) {
             return;
@@ -107,13 +110,13 @@
             admission.recordSend(COLD, now);
             arrivals.add(now - start + random.nextInt(20) * MILLI);
         }
-        time.schedule((1 + random.nextInt(30)) * MILLI, () -> want(admission, limits, start, random));
+        time.schedule((1 + random.nextInt(30)) * MILLI, () -> sendWhenAllowed(admission, limits, start, random));
     }
 
     private List<String> others(int self, int count, View view, long start) {
-        boolean parted = view == View.HALVES || view == View.HEALING && time.nanoTime() - start < SECOND;
+        boolean partitioned = view == View.HALVES || view == View.HEALING && time.nanoTime() - start < SECOND;
         return IntStream.range(0, count)
-                .filter(i -> i != self && (!parted || i % 2 == self % 2))
+                .filter(i -> i != self && (!partitioned || i % 2 == self % 2))
                 .mapToObj(i -> "n" + i)
                 .toList();
     }
