--- a/library/src/main/java/org/copperspindle/batch/BatchService.java
+++ b/library/src/main/java/org/copperspindle/batch/BatchService.java
@@ -469,8 +469,8 @@
                         .limitCallsWith(admission));
     }
 
-    private void upstreamChanged(UpstreamRecord news) {
-        PoolDispatcher dispatcher = dispatchers.get(news.pool());
+    private void upstreamChanged(UpstreamRecord changed) {
+        PoolDispatcher dispatcher = dispatchers.get(changed.pool());
         if (dispatcher != null) {
             dispatcher.dispatch();
         }
--- a/library/src/test/java/org/copperspindle/batch/PoolDispatcherTest.java
+++ b/library/src/test/java/org/copperspindle/batch/PoolDispatcherTest.java
@@ -161,7 +161,7 @@
         add(group(2, 5000, 20_000));
         time.advance(600 * MILLI);
         assertThat(dispatcher.forget("origin", lostAt))
-                .as("only of the old life")
+                .as("only of the old incarnation")
                 .hasSize(3);
         assertThat(results).as("of groups before and after").hasSize(7);
     }
@@ -170,7 +170,7 @@
     void largeInputsAreFetchedWithinTheirFailureDomain() {
         upstream("near", "d1");
         upstream("far", "d2");
-        upstream("maker", "d1");
+        upstream("producer", "d1");
         // Both stage upstreams are free; the producer of the inputs is in the failure domain of one of them.
         IntStream.range(0, 4).forEach(i -> {
             add(follower("10.0.0.3:1/x", 200_000));
