--- a/library/src/main/java/org/copperspindle/pipeline/AnswerFactory.java
+++ b/library/src/main/java/org/copperspindle/pipeline/AnswerFactory.java
@@ -13,8 +13,8 @@
 import org.copperspindle.verdict.Verdict;
 
 /**
- * Makes the final answers of one request. Keeps what it knows about whether any stage ran, so that no answer promises
- * more than that.
+ * Creates the final answers of one request. It tracks whether any stage ran or may have run, so that no answer claims
+ * more than is known.
  */
 final class AnswerFactory {
 
@@ -36,12 +36,12 @@
         this.mayBeResend = RefusalVerdictPolicy.mayBeResend(request.callerKey(), Optional.of(request.pipeline()));
     }
 
-    /** A stage ran and its outcome is known. */
+    /** Records that a stage ran and its outcome is known. */
     void markRan() {
         ran = true;
     }
 
-    /** An attempt was handed over and its outcome is not known. */
+    /** Records that an attempt was dispatched and its outcome is not known. */
     void markMayHaveRun() {
         mayHaveRun = true;
     }
@@ -51,7 +51,7 @@
         return new PipelineAnswer(RanVerdict.SUCCESS, OK, context.answerType(), body, "", Optional.empty());
     }
 
-    /** {@code NOT_RUN} for any key: no entry ever takes this body on. */
+    /** {@code NOT_RUN} for any key: no entry ever accepts this body. */
     PipelineAnswer bodyNotJson() {
         return failure(new NotRunVerdict("body-not-json"), BAD_REQUEST, "body is not JSON");
     }
@@ -64,12 +64,12 @@
         return retryable(verdict("no-upstream"), UNAVAILABLE, "no upstream of pool " + pool + " can take the request");
     }
 
-    PipelineAnswer hopeless(Duration comeBack) {
+    PipelineAnswer deadlineUnreachable(Duration retryAfter) {
         return PipelineAnswer.failure(
                 verdict("deadline-unreachable"),
                 UNAVAILABLE,
                 title("can't be answered within the deadline"),
-                Optional.of(comeBack));
+                Optional.of(retryAfter));
     }
 
     PipelineAnswer refused(String reason) {
@@ -91,15 +91,18 @@
                 "upstream answered " + status);
     }
 
-    /** Speaks of the refused body only: the key stays with the first one for as long as its claim is kept. */
+    /** Applies to the refused body only: the key belongs to the first body for as long as its claim is kept. */
     PipelineAnswer keyConflict() {
         return failure(
-                known("key-conflict", new NotRunVerdict("key-conflict")),
+                verdictOr("key-conflict", new NotRunVerdict("key-conflict")),
                 CONFLICT,
                 "idempotency key used with another body");
     }
 
-    /** Not {@code NOT_RUN}: the key ran or may have, and a caller that is told otherwise would take a new key. */
+    /**
+     * Never {@code NOT_RUN}: the request ran or may have run, and a caller that gets {@code NOT_RUN} would use a new
+     * key.
+     */
     PipelineAnswer keyExpired() {
         return failure(
                 new MayHaveRunVerdict("key-expired"),
@@ -113,15 +116,15 @@
     }
 
     private Verdict verdict(String reason) {
-        return known(reason, RefusalVerdictPolicy.verdict(mayBeResend, reason));
+        return verdictOr(reason, RefusalVerdictPolicy.verdict(mayBeResend, reason));
     }
 
-    /** What is known of this arrival's own attempts; if none ran, the verdict given. */
-    private Verdict known(String reason, Verdict noneRan) {
+    /** Returns the verdict from this arrival's own attempts, or the given verdict if none ran. */
+    private Verdict verdictOr(String reason, Verdict verdictIfNoneRan) {
         if (mayHaveRun) {
             return new MayHaveRunVerdict(reason);
         }
-        return ran ? new RanVerdict(reason) : noneRan;
+        return ran ? new RanVerdict(reason) : verdictIfNoneRan;
     }
 
     private String title(String title) {
--- a/library/src/main/java/org/copperspindle/pipeline/CompletionStream.java
+++ b/library/src/main/java/org/copperspindle/pipeline/CompletionStream.java
@@ -9,8 +9,8 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * Reads a streamed completion: server-sent events (WHATWG HTML, section 9.2) with one JSON chunk each, ended by
- * {@code [DONE]}. Bytes may be cut anywhere, also inside a character.
+ * Parses a streamed completion: server-sent events (WHATWG HTML, section 9.2) with one JSON chunk each, ended by
+ * {@code [DONE]}. The bytes may be split anywhere, even inside a character.
  */
 final class CompletionStream {
 
@@ -21,10 +21,10 @@
     private boolean ended;
 
     /**
-     * Takes the next bytes.
+     * Parses the next bytes.
      *
-     * @param bytes any piece of the stream
-     * @return texts of the chunks that are whole now
+     * @param bytes the next bytes of the stream, split anywhere
+     * @return texts of the chunks that these bytes complete
      * @throws IOException if an event is not a completion chunk
      */
     List<String> feed(byte[] bytes) throws IOException {
--- a/library/src/main/java/org/copperspindle/pipeline/EncoderStageHandler.java
+++ b/library/src/main/java/org/copperspindle/pipeline/EncoderStageHandler.java
@@ -6,8 +6,8 @@
 import org.copperspindle.config.StageSettings;
 
 /**
- * Encoders, met by the OpenAI embeddings interface: {@code POST /v1/embeddings} with {@code model} and {@code input};
- * the answer carries {@code data[0].embedding}. Source: OpenAI API reference, "Create embeddings".
+ * Calls encoders through the OpenAI embeddings interface: {@code POST /v1/embeddings} with {@code model} and {@code
+ * input}; the response contains {@code data[0].embedding}. Source: OpenAI API reference, "Create embeddings".
  */
 final class EncoderStageHandler implements StageHandler {
 
--- a/library/src/main/java/org/copperspindle/pipeline/EngineStageHandler.java
+++ b/library/src/main/java/org/copperspindle/pipeline/EngineStageHandler.java
@@ -7,9 +7,10 @@
 import org.copperspindle.config.StageSettings;
 
 /**
- * Engines, met by the OpenAI completions interface: {@code POST /v1/completions} with {@code model}, {@code prompt},
- * {@code max_tokens} and {@code stream}; a whole answer carries {@code choices[0].text}, a streamed one is a series of
- * server-sent events that ends with {@code [DONE]}. Source: OpenAI API reference, "Create completion".
+ * Calls engines through the OpenAI completions interface: {@code POST /v1/completions} with {@code model}, {@code
+ * prompt}, {@code max_tokens} and {@code stream}; a complete response contains {@code choices[0].text}, a streamed
+ * one is a series of server-sent events that ends with {@code [DONE]}. Source: OpenAI API reference, "Create
+ * completion".
  */
 final class EngineStageHandler implements StageHandler {
 
@@ -27,7 +28,8 @@
         for (JsonNode document : context.documents()) {
             prompt.append(document.asText()).append('\n');
         }
-        // A resumed stream: the engine goes on behind what the caller has, so that nothing is missing or repeated.
+        // For a resumed stream the prompt includes the text that the caller already has, so that nothing is missing
+        // or repeated.
         prompt.append(context.input()).append(context.passedOn());
         int maxTokens = context.request().path("max_tokens").asInt(DEFAULT_MAX_TOKENS) - context.piecesPassedOn();
         return StageContext.JSON.writeValueAsBytes(StageContext.JSON
@@ -40,7 +42,8 @@
 
     @Override
     public void accept(StageContext context, byte[] body, String contentType, boolean streaming) throws IOException {
-        // A kept outcome says by its type how it was asked for first: a resend may ask for the other form.
+        // The content type of a kept outcome tells in which form it was first requested: a resend may request the
+        // other form.
         if (streaming || contentType.startsWith(EVENT_STREAM)) {
             acceptStream(context, body);
             return;
--- a/library/src/main/java/org/copperspindle/pipeline/OrderFactory.java
+++ b/library/src/main/java/org/copperspindle/pipeline/OrderFactory.java
@@ -13,7 +13,7 @@
 import org.copperspindle.verdict.Verdict;
 
 /**
- * Words what one request asks of agents and of the claims.
+ * Creates the messages of one request to agents and to the claims.
  */
 final class OrderFactory {
 
@@ -63,7 +63,7 @@
                 ClaimShards.of(request.account().name(), request.key()));
     }
 
-    /** Says whether the answer of a stage is passed on in pieces. */
+    /** Returns whether the answer of a stage is streamed to the caller. */
     boolean streaming(int stageIndex) {
         List<StageSettings> stages = request.pipeline().stages();
         return request.streaming()
@@ -72,7 +72,7 @@
                         .canStream();
     }
 
-    /** Passes pieces of an answer on. */
+    /** Returns the actions that pass pieces of an answer to the caller. */
     static List<PipelineAction> pass(StageContext context, List<String> texts) {
         texts.forEach(context::passOn);
         return texts.stream().<PipelineAction>map(PipelineAction.Piece::new).toList();
@@ -88,15 +88,15 @@
                 delay);
     }
 
-    /** Tells claims and agent how an attempt ended. */
+    /** Returns the actions that report the end of an attempt to the claims and the agent. */
     List<PipelineAction> conclude(StageAttempt attempt, StageSettings stage, Verdict verdict) {
         boolean refused = verdict instanceof NotRunVerdict;
         PipelineAction.Acknowledge acknowledge = new PipelineAction.Acknowledge(attempt.id(), attempt.upstreamId());
         if (stage.repeatable()) {
             return refused ? List.of() : List.of(acknowledge);
         }
-        // Acknowledged only once the settlement is committed. Otherwise the agent may forget the outcome while the
-        // claim still reads as open, and a resend would learn no more than MAY_HAVE_RUN.
+        // The outcome is acknowledged only once the settlement is committed. Otherwise the agent may drop the outcome
+        // while the claim is still open, and a resend would get no more than MAY_HAVE_RUN.
         return List.of(new PipelineAction.Settle(
                 request.settlement(stage, attempt.id(), verdict),
                 refused ? Optional.empty() : Optional.of(acknowledge)));
--- a/library/src/main/java/org/copperspindle/pipeline/OutcomeReader.java
+++ b/library/src/main/java/org/copperspindle/pipeline/OutcomeReader.java
@@ -8,9 +8,10 @@
 import org.copperspindle.verdict.NotRunVerdict;
 
 /**
- * Judges outcomes: only what its own framing shows to be whole counts as an answer. Safeguard: a body cut short by a
- * reset would otherwise reach the caller as complete; enough, since a plain answer needs the agent's word that the
- * declared length arrived, and a stream its own end mark, which an orderly end of a connection is not.
+ * Evaluates outcomes: only a body whose framing proves that it is complete counts as an answer. Otherwise a body
+ * truncated by a connection reset would reach the caller as complete. This check is sufficient: for a plain answer
+ * the agent must confirm that the declared length arrived, and a stream must contain its end mark, which the orderly
+ * close of a connection does not replace.
  */
 final class OutcomeReader {
 
@@ -19,14 +20,14 @@
     private OutcomeReader() {}
 
     /**
-     * Judges one outcome and takes what it brings.
+     * Evaluates one outcome and stores its content.
      *
      * @param attempt the attempt
      * @param outcome its outcome
-     * @param context takes a whole answer
-     * @param handler speaks the interface of the upstream
-     * @param pieces  takes the pieces of a stream that did not arrive before
-     * @return what it means
+     * @param context receives a complete answer
+     * @param handler handles the interface of the upstream
+     * @param pieces  receives the pieces of a stream that had not arrived before
+     * @return the result of the stage
      */
     static StageResult read(
             StageAttempt attempt,
@@ -35,7 +36,7 @@
             StageHandler handler,
             List<String> pieces) {
         if (outcome.verdict() instanceof NotRunVerdict) {
-            // An agent that forgot what the claims still know proves nothing.
+            // An agent that has dropped an outcome which the claims still know about proves nothing.
             return attempt.endedBefore()
                     ? new StageResult.Lost("outcome-forgotten")
                     : new StageResult.Refused(outcome.verdict().reason());
--- a/library/src/main/java/org/copperspindle/pipeline/PipelineAnswer.java
+++ b/library/src/main/java/org/copperspindle/pipeline/PipelineAnswer.java
@@ -11,20 +11,20 @@
  * @param verdict     whether the request ran
  * @param status      HTTP status for the caller
  * @param contentType content type of the body
- * @param body        whole body; empty for a failure, which the entry words as problem details
+ * @param body        complete body; empty for a failure, which the entry renders as problem details
  * @param title       short name of the failure, empty for success
- * @param retryAfter  when the caller may come back, where that helps
+ * @param retryAfter  when the caller may retry, if a retry is useful
  */
 public record PipelineAnswer(
         Verdict verdict, int status, String contentType, byte[] body, String title, Optional<Duration> retryAfter) {
 
     /**
-     * Makes a failure.
+     * Creates a failure answer.
      *
      * @param verdict    whether the request ran
      * @param status     HTTP status
      * @param title      short name of the failure
-     * @param retryAfter when the caller may come back
+     * @param retryAfter when the caller may retry
      * @return the answer
      */
     public static PipelineAnswer failure(Verdict verdict, int status, String title, Optional<Duration> retryAfter) {
@@ -32,7 +32,7 @@
     }
 
     /**
-     * Says whether the caller got a whole, successful answer.
+     * Returns whether this is a complete, successful answer.
      *
      * @return false for a failure
      */
--- a/library/src/main/java/org/copperspindle/pipeline/PipelineRun.java
+++ b/library/src/main/java/org/copperspindle/pipeline/PipelineRun.java
@@ -16,15 +16,16 @@
 import org.copperspindle.verdict.RanVerdict;
 
 /**
- * One request on its way through its stages: a pure state machine. Each event returns the actions that it causes; the
- * run touches neither network nor clock, so that replay and tests drive the very code that serves.
+ * Runs one request through its stages, as a pure state machine. Each event returns the actions that it causes. The
+ * run uses neither network nor clock, so that replay and tests execute the same code as production.
  *
- * <p>A run is answered at most once. It is closed when, besides, no unrepeatable attempt of its own is open: such an
- * attempt goes on when its caller is gone or its deadline has passed, and is settled when its outcome comes.
+ * <p>A run is answered at most once. It is closed once it is answered and no unrepeatable attempt of its own is open:
+ * such an attempt continues when the caller is gone or the deadline has passed, and is settled when its outcome
+ * arrives.
  */
 public final class PipelineRun {
 
-    private static final Duration QUERY_PAUSE = Duration.ofMillis(100);
+    private static final Duration QUERY_DELAY = Duration.ofMillis(100);
     private static final int MAX_ATTEMPTS = 3;
     private static final int CLIENT_ERROR = 400;
     private static final int SERVER_ERROR = 500;
@@ -34,7 +35,7 @@
     private final OrderFactory orders;
     private final AnswerFactory answers;
     private final Set<String> tried = new HashSet<>();
-    /** One; two while a repeatable stage is hedged. */
+    /** The open attempts: one, or two while a repeatable stage is hedged. */
     private final List<StageAttempt> open = new ArrayList<>(2);
 
     private StageContext context;
@@ -72,7 +73,7 @@
     }
 
     /**
-     * The claim of the open attempt was decided.
+     * Handles the decision on the claim of the open attempt.
      *
      * @param decision the decision
      * @param now      nanoseconds of the timer service
@@ -94,8 +95,8 @@
     }
 
     /**
-     * A piece of a streamed answer arrived. A piece that is not the next one of an open attempt is dropped; if it came
-     * early, what is missing is taken from the kept outcome.
+     * Handles a piece of a streamed answer. A piece that is not the next one of an open attempt is dropped; if it
+     * came early, the missing pieces are taken from the kept outcome.
      *
      * @param chunk the piece
      * @return what to do
@@ -113,7 +114,8 @@
     }
 
     /**
-     * An attempt ended. Outcomes of other attempts than the open ones are late, doubled or foreign and change nothing.
+     * Handles the end of an attempt. Outcomes of attempts that are not open are late, duplicated or foreign and are
+     * dropped.
      *
      * @param outcome the outcome
      * @param now     nanoseconds of the timer service
@@ -128,14 +130,14 @@
         open.remove(attempt);
         List<PipelineAction> actions = new ArrayList<>(orders.conclude(attempt, stage(), outcome.verdict()));
         if (!answered) {
-            actions.addAll(goOn(attempt, outcome, now));
+            actions.addAll(proceed(attempt, outcome, now));
         }
         return actions;
     }
 
     /**
-     * The connection to an open attempt's agent ended. The agent goes on and keeps the outcome, so it is asked first: a
-     * stage that has finished is not paid for twice. Unrepeatable work is asked for until the deadline.
+     * Handles the loss of the connection to an open attempt's agent. The agent continues and keeps the outcome, so it
+     * is queried first: a stage that has finished is not run twice. Unrepeatable work is queried until the deadline.
      *
      * @param attemptId the attempt
      * @param now       nanoseconds of the timer service
@@ -148,16 +150,16 @@
         }
         boolean first = attempt.get().linkLost() == 1;
         if (stage().repeatable() && !first) {
-            return giveUp(attempt.get(), "agent-connection-lost", now);
+            return abandonAttempt(attempt.get(), "agent-connection-lost", now);
         }
-        return List.of(orders.query(attempt.get(), stage(), first ? Duration.ZERO : QUERY_PAUSE));
+        return List.of(orders.query(attempt.get(), stage(), first ? Duration.ZERO : QUERY_DELAY));
     }
 
     /**
-     * The agent of an open attempt could not be asked for its outcome.
+     * Handles a failed query for the outcome of an open attempt.
      *
      * @param attemptId the attempt
-     * @param gone      whether its upstream is no longer known, so that asking again is in vain
+     * @param gone      whether its upstream is no longer known, so that another query is useless
      * @param now       nanoseconds of the timer service
      * @return what to do
      */
@@ -167,13 +169,13 @@
             return List.of();
         }
         if (stage().repeatable() || gone) {
-            return giveUp(attempt.get(), gone ? "agent-gone" : "agent-unreachable", now);
+            return abandonAttempt(attempt.get(), gone ? "agent-gone" : "agent-unreachable", now);
         }
-        return List.of(orders.query(attempt.get(), stage(), QUERY_PAUSE));
+        return List.of(orders.query(attempt.get(), stage(), QUERY_DELAY));
     }
 
     /**
-     * An attempt of a repeatable stage is given up, for example because it takes too long.
+     * Abandons an attempt of a repeatable stage, for example because it takes too long.
      *
      * @param attemptId the attempt
      * @param reason    why
@@ -187,20 +189,21 @@
         }
         List<PipelineAction> actions = new ArrayList<>();
         actions.add(new PipelineAction.Cancel(attempt.get().id(), attempt.get().upstreamId()));
-        actions.addAll(giveUp(attempt.get(), reason, now));
+        actions.addAll(abandonAttempt(attempt.get(), reason, now));
         return actions;
     }
 
     /**
-     * The open attempt takes long enough for a second one beside it. The first whole answer wins; the other attempt is
-     * cancelled. Never for unrepeatable stages, nor for a streamed one, whose pieces are passed on as they come.
+     * Starts a hedge, a second attempt in parallel, if the open one has taken long enough. The first complete answer
+     * wins; the other attempt is cancelled. Unrepeatable stages are never hedged, nor are streamed ones, whose pieces
+     * are passed on as they arrive.
      *
      * @param now nanoseconds of the timer service
      * @return what to do
      */
     public List<PipelineAction> onHedgeDue(long now) {
-        boolean single = !answered && open.size() == 1 && hasAttemptsLeft();
-        if (!single || !stage().repeatable() || open.get(0).streaming()) {
+        boolean hedgeable = !answered && open.size() == 1 && hasAttemptsLeft();
+        if (!hedgeable || !stage().repeatable() || open.get(0).streaming()) {
             return List.of();
         }
         Optional<UpstreamAnnouncement> other =
@@ -212,7 +215,7 @@
     }
 
     /**
-     * An upstream may be used for the attempt that waits.
+     * Starts the waiting attempt, now that an upstream may be used.
      *
      * @param now nanoseconds of the timer service
      * @return what to do
@@ -226,17 +229,18 @@
     }
 
     /**
-     * The request can't be done in time any more. It is answered at once, so that the caller may decide what to do.
+     * Handles a request that can no longer complete before its deadline. It is answered at once, so that the caller
+     * can decide what to do.
      *
-     * @param retryAfter when the caller may come back
+     * @param retryAfter when the caller may retry
      * @return what to do
      */
     public List<PipelineAction> onDeadlineUnreachable(Duration retryAfter) {
-        return answered ? List.of() : answer(answers.hopeless(retryAfter));
+        return answered ? List.of() : answer(answers.deadlineUnreachable(retryAfter));
     }
 
     /**
-     * The deadline passed.
+     * Handles the end of the deadline.
      *
      * @return what to do
      */
@@ -245,7 +249,7 @@
     }
 
     /**
-     * The caller takes its answer too slowly for the memory that it may hold.
+     * Handles a caller that reads its answer so slowly that it exceeds its buffer memory.
      *
      * @return what to do
      */
@@ -254,7 +258,7 @@
     }
 
     /**
-     * The caller went away.
+     * Handles a caller that disconnected.
      *
      * @return what to do
      */
@@ -263,29 +267,29 @@
             return List.of();
         }
         answered = true;
-        return letGo();
+        return releaseAttempts();
     }
 
     /**
-     * Says whether the caller has its answer or is gone.
+     * Returns whether the caller has its answer or is gone.
      *
-     * @return true once nothing is passed on any more
+     * @return true once nothing more is passed to the caller
      */
     public boolean answered() {
         return answered;
     }
 
     /**
-     * Says whether the run is over.
+     * Returns whether the run is closed.
      *
-     * @return true once it waits for nothing
+     * @return true once it waits for nothing any more
      */
     public boolean closed() {
         return answered && open.isEmpty();
     }
 
     /**
-     * Returns the attempts that are open.
+     * Returns the open attempts.
      *
      * @return their ids, none while the run is between stages or over
      */
@@ -294,7 +298,7 @@
     }
 
     /**
-     * Says whether the stage in progress may have a further attempt.
+     * Returns whether the current stage may have another attempt.
      *
      * @return false after its last one
      */
@@ -303,7 +307,7 @@
     }
 
     /**
-     * Returns the stage in progress.
+     * Returns the current stage.
      *
      * @return the stage
      */
@@ -319,9 +323,9 @@
         if (request.deadlineNanos() - now <= 0) {
             return answer(answers.deadline());
         }
-        Optional<Duration> hopeless = chooser.retryAfterIfUnreachable(request, stageIndex, now);
-        if (hopeless.isPresent()) {
-            return onDeadlineUnreachable(hopeless.get());
+        Optional<Duration> retryAfter = chooser.retryAfterIfUnreachable(request, stageIndex, now);
+        if (retryAfter.isPresent()) {
+            return onDeadlineUnreachable(retryAfter.get());
         }
         Optional<UpstreamAnnouncement> choice = chooser.choose(stage(), context, tried);
         if (choice.isEmpty() && chooser.mayWait(request, stage())) {
@@ -358,7 +362,7 @@
         return List.of(orders.query(attempt, stage(), Duration.ZERO));
     }
 
-    private List<PipelineAction> goOn(StageAttempt attempt, AttemptOutcomeMessage outcome, long now) {
+    private List<PipelineAction> proceed(StageAttempt attempt, AttemptOutcomeMessage outcome, long now) {
         if (outcome.verdict() instanceof RanVerdict) {
             answers.markRan();
         }
@@ -376,10 +380,10 @@
             actions.addAll(upstreamError(failed.status(), now));
         } else if (result instanceof StageResult.Lost lost) {
             if (attempt.streaming()) {
-                // The rest is asked for, of the same engine if the choice falls on it: it has the prefix in its cache.
+                // The rest may be requested from the same engine again: it has the prefix in its cache.
                 tried.remove(attempt.upstreamId());
             }
-            actions.addAll(lose(lost.reason(), now));
+            actions.addAll(onOutcomeLost(lost.reason(), now));
         } else {
             answers.markMayHaveRun();
             actions.addAll(abandon("malformed-stream"));
@@ -387,7 +391,9 @@
         return actions;
     }
 
-    /** Goes on after a proof that the attempt did not run; it cost no upstream anything, so takes no retry budget. */
+    /**
+     * Retries after a proof that the attempt did not run; it put no load on an upstream, so it uses no retry budget.
+     */
     private List<PipelineAction> retryNotRun(String reason, long now) {
         if (!open.isEmpty()) {
             return List.of();
@@ -395,13 +401,13 @@
         return attempts < MAX_ATTEMPTS ? startAttempt(now) : answer(answers.refused(reason));
     }
 
-    private List<PipelineAction> giveUp(StageAttempt attempt, String reason, long now) {
+    private List<PipelineAction> abandonAttempt(StageAttempt attempt, String reason, long now) {
         open.remove(attempt);
-        return answered ? List.of() : lose(reason, now);
+        return answered ? List.of() : onOutcomeLost(reason, now);
     }
 
-    /** The attempt's outcome is lost: runs the stage again where that is allowed. */
-    private List<PipelineAction> lose(String reason, long now) {
+    /** Handles the loss of an attempt's outcome: runs the stage again if that is allowed. */
+    private List<PipelineAction> onOutcomeLost(String reason, long now) {
         answers.markMayHaveRun();
         if (!open.isEmpty()) {
             return List.of();
@@ -414,7 +420,7 @@
     }
 
     private List<PipelineAction> nextStage(long now) {
-        List<PipelineAction> actions = new ArrayList<>(letGo());
+        List<PipelineAction> actions = new ArrayList<>(releaseAttempts());
         if (stageIndex == request.pipeline().stages().size() - 1) {
             actions.addAll(answer(answers.success(context)));
             return actions;
@@ -441,13 +447,13 @@
         if (open.stream().anyMatch(StageAttempt::dispatched)) {
             answers.markMayHaveRun();
         }
-        List<PipelineAction> actions = new ArrayList<>(letGo());
+        List<PipelineAction> actions = new ArrayList<>(releaseAttempts());
         actions.addAll(answer(answers.abandoned(reason)));
         return actions;
     }
 
-    /** Gives up what may be given up. An unrepeatable attempt of this run's own stays open. */
-    private List<PipelineAction> letGo() {
+    /** Cancels or drops the attempts that may be abandoned. An unrepeatable attempt of this run's own stays open. */
+    private List<PipelineAction> releaseAttempts() {
         List<PipelineAction> actions = new ArrayList<>();
         for (StageAttempt attempt : List.copyOf(open)) {
             if (!attempt.dispatched()) {
--- a/library/src/main/java/org/copperspindle/pipeline/RerankerStageHandler.java
+++ b/library/src/main/java/org/copperspindle/pipeline/RerankerStageHandler.java
@@ -8,8 +8,8 @@
 import org.copperspindle.config.StageSettings;
 
 /**
- * Rerankers, met by plain JSON as Cohere and Jina have it: {@code POST /rerank} with {@code model}, {@code query},
- * {@code documents} and {@code top_n}; the answer carries {@code results[].index}, best first.
+ * Calls rerankers with plain JSON in the format of Cohere and Jina: {@code POST /rerank} with {@code model}, {@code
+ * query}, {@code documents} and {@code top_n}; the response contains {@code results[].index}, best first.
  */
 final class RerankerStageHandler implements StageHandler {
 
--- a/library/src/main/java/org/copperspindle/pipeline/RetrieverStageHandler.java
+++ b/library/src/main/java/org/copperspindle/pipeline/RetrieverStageHandler.java
@@ -7,8 +7,8 @@
 import org.copperspindle.config.StageSettings;
 
 /**
- * Retrievers, met by plain JSON: {@code POST /retrieve} with {@code query}, {@code embedding} and {@code top_k}; the
- * answer carries {@code documents}, an array of strings.
+ * Calls retrievers with plain JSON: {@code POST /retrieve} with {@code query}, {@code embedding} and {@code top_k};
+ * the response contains {@code documents}, an array of strings.
  */
 final class RetrieverStageHandler implements StageHandler {
 
--- a/library/src/main/java/org/copperspindle/pipeline/ServiceStageHandler.java
+++ b/library/src/main/java/org/copperspindle/pipeline/ServiceStageHandler.java
@@ -3,7 +3,7 @@
 import org.copperspindle.config.StageSettings;
 
 /**
- * Plain services: the caller's body goes through as it is, and so does the answer.
+ * Calls plain services: the caller's body and the response are passed through unchanged.
  */
 final class ServiceStageHandler implements StageHandler {
 
--- a/library/src/main/java/org/copperspindle/pipeline/StageAttempt.java
+++ b/library/src/main/java/org/copperspindle/pipeline/StageAttempt.java
@@ -11,7 +11,8 @@
 import org.copperspindle.membership.UpstreamAnnouncement;
 
 /**
- * The open attempt of one stage: the run's own, or one of another arrival with the same key that it follows.
+ * An open attempt of one stage: the run's own, or one of another arrival with the same key whose outcome the run
+ * waits for.
  */
 final class StageAttempt {
 
@@ -55,7 +56,9 @@
                 streaming ? Optional.of(new CompletionStream()) : Optional.empty());
     }
 
-    /** The attempt that holds the key: its outcome, and no run of this one's own, is the answer. */
+    /**
+     * Returns the attempt that holds the key: its outcome is the answer, and this run starts no attempt of its own.
+     */
     static StageAttempt follow(ClaimDecision held) {
         StageAttempt attempt = new StageAttempt(
                 held.attemptId(),
@@ -89,7 +92,7 @@
         return followed;
     }
 
-    /** Whether the claim table knows that the attempt ran or may have run. */
+    /** Returns whether the claim table knows that the attempt ran or may have run. */
     boolean endedBefore() {
         return endedBefore;
     }
@@ -102,7 +105,7 @@
         dispatched = true;
     }
 
-    /** Counts lost connections; returns how many there were, this one included. */
+    /** Counts a lost connection; returns the number of losses, including this one. */
     int linkLost() {
         return ++linksLost;
     }
@@ -122,9 +125,9 @@
     }
 
     /**
-     * Takes what the outcome holds beyond the pieces that arrived. Safeguard: pieces lost with a connection would leave a
-     * gap in the caller's text; enough, because the kept outcome has all bytes from the first on, and the number of
-     * bytes taken says where to go on.
+     * Parses the part of the outcome after the pieces that have arrived. Pieces lost with a connection would
+     * otherwise leave a gap in the caller's text. This is sufficient, because the kept outcome has all bytes from the
+     * start, and the number of bytes taken is the position to continue from.
      */
     List<String> takeRest(AttemptOutcomeMessage outcome) throws IOException {
         byte[] body = outcome.body();
--- a/library/src/main/java/org/copperspindle/pipeline/StageContext.java
+++ b/library/src/main/java/org/copperspindle/pipeline/StageContext.java
@@ -7,7 +7,7 @@
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 
 /**
- * What earlier stages of one request produced, for later ones to use.
+ * The results of earlier stages of one request, for use in later stages.
  */
 public final class StageContext {
 
@@ -25,7 +25,7 @@
     private String answerType = "application/json";
 
     /**
-     * Starts a context.
+     * Creates a context.
      *
      * @param body the caller's JSON body
      * @throws IOException if it is not JSON
@@ -44,7 +44,7 @@
     }
 
     /**
-     * Returns the text that the request is about.
+     * Returns the input text of the request.
      *
      * @return field {@code input} of the caller's body, empty if absent
      */
@@ -72,14 +72,14 @@
         return text;
     }
 
-    /** Takes a piece of the streamed stage that goes to the caller at once. */
+    /** Adds a piece of the streamed stage that is passed to the caller at once. */
     void passOn(String piece) {
         text.append(piece);
         passedOn.append(piece);
         piecesPassedOn++;
     }
 
-    /** Text of the streamed stage that the caller has: a resumed stream goes on behind it. */
+    /** Returns the text of the streamed stage that the caller already has: a resumed stream continues after it. */
     String passedOn() {
         return passedOn.toString();
     }
--- a/library/src/main/java/org/copperspindle/pipeline/StageHandler.java
+++ b/library/src/main/java/org/copperspindle/pipeline/StageHandler.java
@@ -5,7 +5,7 @@
 import org.copperspindle.config.StageSettings;
 
 /**
- * Speaks the usual interface of one kind of upstream.
+ * Creates requests and parses responses in the common interface of one kind of upstream.
  */
 public interface StageHandler {
 
@@ -13,34 +13,34 @@
      * Returns the HTTP path of the call.
      *
      * @param stage the stage
-     * @return its configured path, else the usual one of the kind
+     * @return its configured path, else the default of the kind
      */
     String path(StageSettings stage);
 
     /**
-     * Makes the body of the call.
+     * Creates the body of the call.
      *
-     * @param context   what earlier stages produced
+     * @param context   results of earlier stages
      * @param stage     the stage
-     * @param streaming whether the answer is wanted in pieces
+     * @param streaming whether a streamed response is requested
      * @return a JSON body
      * @throws IOException if it can't be written
      */
     byte[] request(StageContext context, StageSettings stage, boolean streaming) throws IOException;
 
     /**
-     * Takes a whole response into the context.
+     * Stores a complete response in the context.
      *
-     * @param context     where to
-     * @param body        whole body
+     * @param context     the context to update
+     * @param body        complete body
      * @param contentType its content type
-     * @param streaming   whether it came in pieces
-     * @throws IOException if the body is not a whole answer of this kind
+     * @param streaming   whether it was streamed
+     * @throws IOException if the body is not a complete response of this kind
      */
     void accept(StageContext context, byte[] body, String contentType, boolean streaming) throws IOException;
 
     /**
-     * Says whether this kind of upstream can answer in pieces.
+     * Returns whether this kind of upstream can stream its response.
      *
      * @return true for engines
      */
--- a/library/src/main/java/org/copperspindle/pipeline/StageHandlerFactory.java
+++ b/library/src/main/java/org/copperspindle/pipeline/StageHandlerFactory.java
@@ -3,7 +3,7 @@
 import org.copperspindle.config.PoolKind;
 
 /**
- * Finds the handler of a kind of upstream. Handlers have no state of their own.
+ * Provides the handler of each kind of upstream. Handlers are stateless.
  */
 public final class StageHandlerFactory {
 
@@ -16,7 +16,7 @@
     private StageHandlerFactory() {}
 
     /**
-     * Finds a handler.
+     * Returns the handler of a kind.
      *
      * @param kind kind of the stage's pool
      * @return its handler
--- a/library/src/main/java/org/copperspindle/pipeline/StageResult.java
+++ b/library/src/main/java/org/copperspindle/pipeline/StageResult.java
@@ -1,34 +1,34 @@
 package org.copperspindle.pipeline;
 
 /**
- * What an attempt's outcome means for its stage.
+ * The meaning of an attempt's outcome for its stage.
  */
 sealed interface StageResult {
 
-    /** The answer is whole and stands in the context. */
+    /** The answer is complete and stored in the context. */
     record Whole() implements StageResult {}
 
     /**
      * The attempt is proven not run.
      *
-     * @param reason the proof in short
+     * @param reason short name of the proof
      */
     record Refused(String reason) implements StageResult {}
 
     /**
-     * The attempt may have run, and there is no whole answer.
+     * The attempt may have run, and there is no complete answer.
      *
      * @param reason what was lost
      */
     record Lost(String reason) implements StageResult {}
 
     /**
-     * The upstream answered that it failed.
+     * The upstream responded with an error.
      *
      * @param status its HTTP status
      */
     record Failed(int status) implements StageResult {}
 
-    /** What was streamed is not a stream of the usual form; nothing can be built on it. */
+    /** The streamed data does not have the expected format and cannot be continued. */
     record Malformed() implements StageResult {}
 }
--- a/library/src/main/java/org/copperspindle/pipeline/UpstreamChooser.java
+++ b/library/src/main/java/org/copperspindle/pipeline/UpstreamChooser.java
@@ -10,7 +10,7 @@
 import org.copperspindle.membership.UpstreamAnnouncement;
 
 /**
- * What a {@link PipelineRun} asks of the entry that it runs on.
+ * The decisions that a {@link PipelineRun} requests from its entry.
  */
 public interface UpstreamChooser {
 
@@ -18,7 +18,7 @@
      * Chooses an upstream for one attempt.
      *
      * @param stage   the stage
-     * @param context what earlier stages produced
+     * @param context results of earlier stages
      * @param tried   upstreams that earlier attempts of the stage used
      * @return the choice, empty if none may be used now
      */
@@ -33,7 +33,7 @@
     PoolKind kind(String pool);
 
     /**
-     * Asks the retry budget for one more attempt.
+     * Takes one more attempt from the retry budget.
      *
      * @param request the request
      * @return false if the budget is spent
@@ -41,7 +41,7 @@
     boolean mayRetry(PipelineRequest request);
 
     /**
-     * Returns when a second attempt of a repeatable stage is worth starting beside the first.
+     * Returns when a second attempt of a repeatable stage is worth starting in parallel to the first.
      *
      * @param request the request
      * @param stage   the stage
@@ -52,7 +52,7 @@
     }
 
     /**
-     * Asks the hedge budget for one attempt beside another.
+     * Takes one parallel attempt from the hedge budget.
      *
      * @param request the request
      * @return false if the budget is spent or the fleet is overloaded
@@ -62,7 +62,7 @@
     }
 
     /**
-     * Says whether an attempt may wait for an upstream when none may be used now.
+     * Returns whether an attempt may wait for an upstream if none may be used now.
      *
      * @param request the request
      * @param stage   the stage
@@ -73,33 +73,33 @@
     }
 
     /**
-     * Puts the attempt in line for which the last choice was empty.
+     * Queues the attempt for which the last choice was empty.
      *
      * @param request the request
      * @param now     nanoseconds of the timer service
-     * @return nanoseconds from now after which waiting on can't help any more
+     * @return nanoseconds from now after which further waiting is useless
      */
     default long enqueue(PipelineRequest request, long now) {
-        throw new IllegalStateException("nothing may wait here");
+        throw new IllegalStateException("this chooser does not support waiting");
     }
 
     /**
-     * Judges whether the stages from one on can still be done in time.
+     * Checks whether the remaining stages can still complete before the deadline.
      *
      * @param request    the request
      * @param stageIndex next stage, from 0
      * @param now        nanoseconds of the timer service
-     * @return when the caller may come back, if they can't; empty if they can
+     * @return when the caller may retry if they cannot; empty if they can
      */
     default Optional<Duration> retryAfterIfUnreachable(PipelineRequest request, int stageIndex, long now) {
         return Optional.empty();
     }
 
     /**
-     * Returns what is known of an agent's clock.
+     * Returns the latest known reading of an agent's clock.
      *
      * @param upstream the upstream
-     * @return a reading in microseconds, 0 if none is known
+     * @return the reading in microseconds, 0 if none is known
      */
     default long agentClock(UpstreamAnnouncement upstream) {
         return 0;
--- a/library/src/test/java/org/copperspindle/pipeline/EngineStageHandlerTest.java
+++ b/library/src/test/java/org/copperspindle/pipeline/EngineStageHandlerTest.java
@@ -19,9 +19,9 @@
     private final EngineStageHandler handler = new EngineStageHandler();
 
     /**
-     * A teacher's sheet is generated as a stream and the answer is lost; resent through another entry, the agent hands
-     * over the kept outcome, which is a stream, to a run that did not ask for one. Read as one JSON document it was
-     * reported lost, MAY_HAVE_RUN, though it was whole.
+     * An answer is generated as a stream and lost. After a resend through another entry, the agent returns the kept
+     * outcome, which is a stream, to a run that did not request one. Parsed as one JSON document, it was reported as
+     * lost with MAY_HAVE_RUN although it was complete.
      */
     @ParameterizedTest
     @CsvSource({"true", "false"})
@@ -38,7 +38,7 @@
         assertThat(context.text()).hasToString("a sheet");
     }
 
-    /** A kept stream that was cut is no whole answer, in whichever form the resend asks for it. */
+    /** A truncated kept stream is not a complete answer, in whichever form the resend requests it. */
     @ParameterizedTest
     @CsvSource({"true", "false"})
     void cutStreamIsRefused(boolean streaming) throws Exception {
