--- a/library/src/main/java/org/copperspindle/discovery/DirectoryChange.java
+++ b/library/src/main/java/org/copperspindle/discovery/DirectoryChange.java
@@ -1,13 +1,13 @@
 package org.copperspindle.discovery;
 
 /**
- * What an announcement did to a directory.
+ * Effect of an announcement on a directory.
  */
 public enum DirectoryChange {
-    /** It was late, or of an upstream that has left. */
+    /** The announcement is stale, or belongs to an upstream that has left. */
     NONE,
-    /** It says again what was known. */
+    /** The announcement repeats the known state. */
     REFRESHED,
-    /** An upstream came, changed, or left. */
+    /** An upstream was added, changed or removed. */
     CHANGED
 }
--- a/library/src/main/java/org/copperspindle/discovery/DirectoryGossip.java
+++ b/library/src/main/java/org/copperspindle/discovery/DirectoryGossip.java
@@ -12,28 +12,29 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * Passes announcements on to all nodes: changes at once, since an upstream that drains must get no new work after a short
- * while; repeated ones together a few times a second. A node that has just connected gets everything, so that nothing
- * stays lost that was said while the connection was down.
+ * Propagates upstream announcements to all nodes. Changes are sent immediately, because a draining upstream must stop
+ * receiving work quickly. Repeated announcements are batched and sent a few times a second. A node that has just
+ * connected receives the full directory, so that announcements lost while the connection was down are recovered.
  */
 public final class DirectoryGossip implements MeshListener {
 
     /**
-     * Repeated announcements wait so long for others: half of the shortest interval in which upstreams announce themselves. Two
-     * lost ones in a row and this wait are still shorter than the silence after which an upstream is left alone.
+     * How long repeated announcements are collected before they are sent: half of the shortest interval at which
+     * upstreams announce themselves. Two lost announcements in a row plus this delay are still shorter than the
+     * silence after which an upstream is no longer used.
      */
     private static final long BATCH_NANOS = Duration.ofMillis(600).toNanos();
 
     private final NodeMesh mesh;
     private final TimerService timers;
     private final UpstreamDirectory directory;
-    private final Map<String, UpstreamRecord> waiting = new LinkedHashMap<>();
+    private final Map<String, UpstreamRecord> pending = new LinkedHashMap<>();
 
     /**
-     * Creates the gossip; to be subscribed to the mesh.
+     * Creates the gossip. The caller subscribes it to the mesh.
      *
      * @param mesh      the nodes
-     * @param timers    time on the network thread
+     * @param timers    timers of the network thread
      * @param directory this node's directory
      */
     public DirectoryGossip(NodeMesh mesh, TimerService timers, UpstreamDirectory directory) {
@@ -43,41 +44,42 @@
     }
 
     /**
-     * Takes an announcement that an upstream made here.
+     * Processes an announcement that an upstream sent to this node.
      *
-     * @param news the announcement
+     * @param announcement the announcement
      */
-    public void onAnnouncement(UpstreamRecord news) {
-        DirectoryChange change = directory.accept(news, timers.nanoTime());
+    public void onAnnouncement(UpstreamRecord announcement) {
+        DirectoryChange change = directory.accept(announcement, timers.nanoTime());
         if (change == DirectoryChange.CHANGED) {
-            mesh.broadcast(new UpstreamRecordsMessage(List.of(news)));
+            mesh.broadcast(new UpstreamRecordsMessage(List.of(announcement)));
         } else if (change == DirectoryChange.REFRESHED) {
-            later(news);
+            enqueue(announcement);
         }
     }
 
     /**
-     * Takes note that an upstream has left.
+     * Records that an upstream has left.
      *
      * @param id          its id
-     * @param incarnation the life that has ended; {@link UpstreamRecord#UNKNOWN_INCARNATION} for the one known here
-     * @param reason      how this is known
+     * @param incarnation incarnation that has ended; {@link UpstreamRecord#UNKNOWN_INCARNATION} for the one known
+     *                    here
+     * @param reason      evidence for the departure, for the log
      */
     public void onLeft(String id, long incarnation, String reason) {
         directory
-                .leave(id, incarnation, reason, timers.nanoTime())
-                .ifPresent(news -> mesh.broadcast(new UpstreamRecordsMessage(List.of(news))));
+                .markGone(id, incarnation, reason, timers.nanoTime())
+                .ifPresent(announcement -> mesh.broadcast(new UpstreamRecordsMessage(List.of(announcement))));
     }
 
     /**
-     * Takes note that an upstream has said in an answer that it leaves.
+     * Records that an upstream announced in a response that it is leaving.
      *
      * @param id its id
      */
     public void onLeaving(String id) {
         directory
-                .leaving(id, timers.nanoTime())
-                .ifPresent(news -> mesh.broadcast(new UpstreamRecordsMessage(List.of(news))));
+                .markLeaving(id, timers.nanoTime())
+                .ifPresent(announcement -> mesh.broadcast(new UpstreamRecordsMessage(List.of(announcement))));
     }
 
     @Override
@@ -91,23 +93,23 @@
     @Override
     public void onMessage(MeshNode node, WireMessage message) {
         if (message instanceof UpstreamRecordsMessage received) {
-            received.news().forEach(news -> directory.accept(news, timers.nanoTime()));
+            received.records().forEach(announcement -> directory.accept(announcement, timers.nanoTime()));
         }
     }
 
-    private void later(UpstreamRecord news) {
-        if (waiting.isEmpty()) {
+    private void enqueue(UpstreamRecord announcement) {
+        if (pending.isEmpty()) {
             timers.schedule(BATCH_NANOS, this::flush);
         }
-        waiting.put(news.id(), news);
+        pending.put(announcement.id(), announcement);
     }
 
     private void flush() {
         long now = timers.nanoTime();
         directory.forgetSilent(now);
-        mesh.broadcast(new UpstreamRecordsMessage(waiting.values().stream()
-                .map(news -> news.withAge(directory.silenceMillis(news.id(), now)))
+        mesh.broadcast(new UpstreamRecordsMessage(pending.values().stream()
+                .map(announcement -> announcement.withAge(directory.silenceMillis(announcement.id(), now)))
                 .toList()));
-        waiting.clear();
+        pending.clear();
     }
 }
--- a/library/src/main/java/org/copperspindle/discovery/DirectoryListener.java
+++ b/library/src/main/java/org/copperspindle/discovery/DirectoryListener.java
@@ -1,15 +1,15 @@
 package org.copperspindle.discovery;
 
 /**
- * Hears of upstreams that come and go.
+ * Listener for changes of the upstream directory.
  */
 @FunctionalInterface
 public interface DirectoryListener {
 
     /**
-     * Something about an upstream changed.
+     * Called when the known state of an upstream has changed.
      *
-     * @param news what is known of it now
+     * @param state current state of the upstream
      */
-    void onChange(UpstreamRecord news);
+    void onChange(UpstreamRecord state);
 }
--- a/library/src/main/java/org/copperspindle/discovery/EvacuatedDomains.java
+++ b/library/src/main/java/org/copperspindle/discovery/EvacuatedDomains.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 
 /**
- * Failure domains whose upstreams get nothing, and when others were used again.
+ * The evacuated failure domains, and the time at which formerly evacuated ones were reopened.
  */
 final class EvacuatedDomains {
 
@@ -14,11 +14,11 @@
     private Set<String> names = Set.of();
 
     /**
-     * Takes a new list.
+     * Replaces the set of evacuated failure domains.
      *
      * @param next names of all evacuated failure domains
      * @param now  monotonic time in nanoseconds
-     * @return names of those that are evacuated or used again from now on
+     * @return names of the failure domains that are newly evacuated or reopened
      */
     Set<String> replace(Set<String> next, long now) {
         Set<String> changed = new HashSet<>(names);
@@ -34,14 +34,14 @@
     }
 
     /**
-     * Says whether a failure domain was taken into use again a short while ago.
+     * Returns whether a failure domain was reopened within a given time.
      *
-     * @param name  its name
-     * @param nanos how long ago at most
-     * @param now   monotonic time in nanoseconds
+     * @param name        its name
+     * @param windowNanos maximum time since the reopening, in nanoseconds
+     * @param now         monotonic time in nanoseconds
      */
-    boolean isReopened(String name, long nanos, long now) {
+    boolean isReopened(String name, long windowNanos, long now) {
         Long at = reopenedAt.get(name);
-        return at != null && now - at < nanos;
+        return at != null && now - at < windowNanos;
     }
 }
--- a/library/src/main/java/org/copperspindle/discovery/UpstreamDirectory.java
+++ b/library/src/main/java/org/copperspindle/discovery/UpstreamDirectory.java
@@ -13,160 +13,172 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * The upstreams that this node knows. An address belongs to the upstream that was heard from it last: a late announcement
- * of a former holder may take it for a moment, and the next one of the holder takes it back. Meanwhile no request goes
- * astray, since each names the id that it is meant for. An id that has left comes back only with a later incarnation: then
- * it is an upstream that has forgotten all that the former one held. Single-threaded.
+ * Directory of the upstreams known to this node. An address belongs to the upstream that was last heard from it. A
+ * late announcement of a former owner may take the address briefly; the next announcement of the actual owner
+ * restores it. No request reaches the wrong upstream meanwhile, because each request names the id it is meant for. An
+ * id that has left returns only with a later incarnation, and is then an upstream without any state of the former
+ * one. Not thread-safe.
  */
 public final class UpstreamDirectory {
 
     private static final Logger LOGGER = LogManager.getLogger(UpstreamDirectory.class);
 
-    /** Longer than any late announcement or passed-on record may take. */
-    private static final long FORGET_NANOS = Duration.ofSeconds(60).toNanos();
+    /**
+     * Time after which a silent upstream is removed; longer than any delayed announcement or forwarded record is
+     * under way.
+     */
+    private static final long EXPIRY_NANOS = Duration.ofSeconds(60).toNanos();
 
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    private final Map<String, Known> byId = new LinkedHashMap<>();
+    private final Map<String, Entry> byId = new LinkedHashMap<>();
     private final EvacuatedDomains evacuated = new EvacuatedDomains();
     private Map<String, Long> coldNanosByPool = Map.of();
-    private final Map<String, String> holders = new HashMap<>();
+    private final Map<String, String> ownerIdByAddress = new HashMap<>();
     private final List<DirectoryListener> listeners = new ArrayList<>();
 
     /**
      * Adds a listener.
      *
-     * @param listener hears of each change
+     * @param listener called on each change
      */
     public void subscribe(DirectoryListener listener) {
         listeners.add(listener);
     }
 
     /**
-     * Sets which failure domains are evacuated. Their upstreams are not {@link #ready} from now on. Those of a failure domain that is
-     * used again count as cold for as long as those of their pool stay cold after a start: they may have become so in the
-     * same moment, and all nodes see them without any load.
+     * Sets the evacuated failure domains. Their upstreams are excluded from {@link #ready}. Upstreams of a reopened
+     * failure domain are treated as cold for the cold period of their pool: they may have become cold when the domain
+     * was reopened, and all nodes see them without load at the same time.
      *
-     * @param failureDomains all that are evacuated
+     * @param failureDomains names of all evacuated failure domains
      * @param now            monotonic time in nanoseconds
      */
     public void evacuate(Set<String> failureDomains, long now) {
         Set<String> changed = evacuated.replace(failureDomains, now);
-        List<UpstreamRecord> concerned = byId.values().stream()
-                .map(Known::news)
-                .filter(news -> news.phase() != UpstreamPhase.GONE && changed.contains(news.failureDomain()))
+        List<UpstreamRecord> affected = byId.values().stream()
+                .map(Entry::state)
+                .filter(state -> state.phase() != UpstreamPhase.GONE && changed.contains(state.failureDomain()))
                 .toList();
-        concerned.forEach(this::tell);
+        affected.forEach(this::notifyListeners);
     }
 
     /**
-     * Says whether a failure domain is evacuated.
+     * Returns whether a failure domain is evacuated.
      *
      * @param failureDomain its name
-     * @return true if its upstreams get nothing
+     * @return true if its upstreams receive no work
      */
     public boolean isEvacuated(String failureDomain) {
         return evacuated.contains(failureDomain);
     }
 
     /**
-     * Says whether any upstream has announced itself in a failure domain.
+     * Returns whether any upstream of a failure domain is known.
      *
      * @param failureDomain its name
      * @return false if none is known there
      */
     public boolean hasFailureDomain(String failureDomain) {
         return byId.values().stream()
-                .anyMatch(known -> known.news().failureDomain().equals(failureDomain));
+                .anyMatch(known -> known.state().failureDomain().equals(failureDomain));
     }
 
     /**
-     * Sets how long upstreams stay cold.
+     * Sets the cold period of each pool.
      *
-     * @param nanosByPool nanoseconds by name of the pool; upstreams of other pools are never presumed to be cold
+     * @param nanosByPool nanoseconds by pool name; upstreams of other pools are never presumed cold
      */
     public void setColdTimes(Map<String, Long> nanosByPool) {
         coldNanosByPool = Map.copyOf(nanosByPool);
     }
 
     /**
-     * Says whether an upstream is cold: by what it said, counted from when it was heard, or because its failure domain was
-     * evacuated until a short while ago.
+     * Returns whether an upstream is cold: either by its own announcement, counted from when it was received, or
+     * because its failure domain was reopened recently.
      *
-     * @param news the upstream
-     * @param now  monotonic time in nanoseconds
-     * @return true if it bears little
+     * @param state the upstream
+     * @param now   monotonic time in nanoseconds
+     * @return true if it should receive little load
      */
-    public boolean isCold(UpstreamRecord news, long now) {
-        Known known = byId.get(news.id());
-        boolean stated = known != null
-                && known.news().isCold()
-                && now - known.statedAt() < known.news().coldMillis() * NANOS_PER_MILLI;
-        return stated || evacuated.isReopened(news.failureDomain(), coldNanosByPool.getOrDefault(news.pool(), 0L), now);
+    public boolean isCold(UpstreamRecord state, long now) {
+        Entry known = byId.get(state.id());
+        boolean announcedCold = known != null
+                && known.state().isCold()
+                && now - known.announcedAt() < known.state().coldMillis() * NANOS_PER_MILLI;
+        return announcedCold
+                || evacuated.isReopened(state.failureDomain(), coldNanosByPool.getOrDefault(state.pool(), 0L), now);
     }
 
     /**
-     * Takes an announcement, heard here or passed on by another node.
+     * Processes an announcement that was received from the upstream or forwarded by another node.
      *
      * @param announced the announcement
      * @param now       monotonic time in nanoseconds
-     * @return what it changed
+     * @return effect on the directory
      */
     public DirectoryChange accept(UpstreamRecord announced, long now) {
-        UpstreamRecord news = sinceItLeaves(announced);
-        long heardAt = now - Duration.ofMillis(Math.max(0, news.ageMillis())).toNanos();
-        Known before = byId.get(news.id());
-        if (before != null && isLate(before.news(), news)) {
+        UpstreamRecord state = keepLeavingPhase(announced);
+        long receivedAt =
+                now - Duration.ofMillis(Math.max(0, state.ageMillis())).toNanos();
+        Entry previous = byId.get(state.id());
+        if (previous != null && isStale(previous.state(), state)) {
             return DirectoryChange.NONE;
         }
-        if (news.phase() == UpstreamPhase.GONE) {
-            return leave(before, news, now);
+        if (state.phase() == UpstreamPhase.GONE) {
+            return markGone(previous, state, now);
         }
-        boolean same = before != null && before.news().withAge(0).equals(withSequence(news, before.news()));
-        if (before != null && !before.news().address().equals(news.address())) {
-            holders.remove(before.news().address(), news.id());
+        boolean same = previous != null && previous.state().withAge(0).equals(withSequence(state, previous.state()));
+        if (previous != null && !previous.state().address().equals(state.address())) {
+            ownerIdByAddress.remove(previous.state().address(), state.id());
         }
-        boolean held = holds(news.id(), news.address());
-        byId.put(news.id(), new Known(news, before == null ? heardAt : Math.max(heardAt, before.heardAt()), heardAt));
-        boolean taken = held || takeAddress(news, heardAt);
-        if (same && held) {
+        boolean ownedAddress = ownsAddress(state.id(), state.address());
+        byId.put(
+                state.id(),
+                new Entry(
+                        state,
+                        previous == null ? receivedAt : Math.max(receivedAt, previous.receivedAt()),
+                        receivedAt));
+        boolean addressClaimed = ownedAddress || claimAddress(state, receivedAt);
+        if (same && ownedAddress) {
             return DirectoryChange.REFRESHED;
         }
-        if (!taken && same) {
+        if (!addressClaimed && same) {
             return DirectoryChange.NONE;
         }
         LOGGER.info(
                 "event=upstream-{} upstream={} incarnation={} before={} pool={} address={} domain={} sequence={} age_ms={} cold_ms={}",
-                news.phase() == UpstreamPhase.READY ? "seen" : "draining",
-                news.id(),
-                news.incarnation(),
-                before == null ? "none" : before.news().incarnation(),
-                news.pool(),
-                news.address(),
-                news.failureDomain(),
-                news.sequence(),
-                news.ageMillis(),
-                news.coldMillis());
-        tell(news);
+                state.phase() == UpstreamPhase.READY ? "seen" : "draining",
+                state.id(),
+                state.incarnation(),
+                previous == null ? "none" : previous.state().incarnation(),
+                state.pool(),
+                state.address(),
+                state.failureDomain(),
+                state.sequence(),
+                state.ageMillis(),
+                state.coldMillis());
+        notifyListeners(state);
         return DirectoryChange.CHANGED;
     }
 
     /**
-     * Notes that an upstream has left.
+     * Records that an upstream has left.
      *
      * @param id          its id
-     * @param incarnation the life that has ended; {@link UpstreamRecord#UNKNOWN_INCARNATION} for the one known here
-     * @param reason      how this is known
+     * @param incarnation incarnation that has ended; {@link UpstreamRecord#UNKNOWN_INCARNATION} for the one known
+     *                    here
+     * @param reason      evidence for the departure, for the log
      * @param now         monotonic time in nanoseconds
-     * @return what is passed on to other nodes, empty if it was known to have left
+     * @return record to send to other nodes; empty if the departure was already known
      */
-    public Optional<UpstreamRecord> leave(String id, long incarnation, String reason, long now) {
-        Known known = byId.get(id);
-        // Other nodes may know an upstream that this one has not heard of yet.
-        UpstreamRecord gone = known == null || isOther(incarnation, known.news())
-                ? UpstreamRecord.goneUnheard(id, incarnation)
-                : known.news().gone().withAge(0);
-        if (known != null && isLate(known.news(), gone)) {
+    public Optional<UpstreamRecord> markGone(String id, long incarnation, String reason, long now) {
+        Entry known = byId.get(id);
+        // Other nodes may know an upstream that this node has not received an announcement of yet.
+        UpstreamRecord gone = known == null || isOtherIncarnation(incarnation, known.state())
+                ? UpstreamRecord.goneUnknown(id, incarnation)
+                : known.state().gone().withAge(0);
+        if (known != null && isStale(known.state(), gone)) {
             return Optional.empty();
         }
         LOGGER.info(
@@ -180,92 +192,92 @@
     }
 
     /**
-     * Notes that an upstream has said in an answer that it leaves.
+     * Records that an upstream announced in a response that it is leaving.
      *
      * @param id  its id
      * @param now monotonic time in nanoseconds
-     * @return what is passed on to other nodes, empty if it was known to leave
+     * @return record to send to other nodes; empty if this was already known
      */
-    public Optional<UpstreamRecord> leaving(String id, long now) {
-        Optional<UpstreamRecord> leaving = find(id).filter(news -> news.phase() != UpstreamPhase.LEAVING)
-                .map(news -> news.leaving().withAge(0));
-        leaving.ifPresent(news -> accept(news, now));
+    public Optional<UpstreamRecord> markLeaving(String id, long now) {
+        Optional<UpstreamRecord> leaving = find(id).filter(state -> state.phase() != UpstreamPhase.LEAVING)
+                .map(state -> state.leaving().withAge(0));
+        leaving.ifPresent(state -> accept(state, now));
         return leaving;
     }
 
     /**
-     * Forgets upstreams that were silent for longer than any announcement or passed-on record takes.
+     * Removes upstreams that were silent for longer than any announcement or forwarded record is under way.
      *
      * @param now monotonic time in nanoseconds
      */
     public void forgetSilent(long now) {
-        byId.values().removeIf(known -> now - known.heardAt() > FORGET_NANOS);
-        holders.values().removeIf(id -> !byId.containsKey(id));
+        byId.values().removeIf(known -> now - known.receivedAt() > EXPIRY_NANOS);
+        ownerIdByAddress.values().removeIf(id -> !byId.containsKey(id));
     }
 
     /**
      * Finds an upstream that has not left.
      *
      * @param id its id
-     * @return what it said last
+     * @return its last known state
      */
     public Optional<UpstreamRecord> find(String id) {
-        return Optional.ofNullable(byId.get(id)).map(Known::news).filter(news -> news.phase() != UpstreamPhase.GONE);
+        return Optional.ofNullable(byId.get(id)).map(Entry::state).filter(state -> state.phase() != UpstreamPhase.GONE);
     }
 
     /**
      * Finds the upstream at an address.
      *
      * @param address IP:PORT
-     * @return the upstream that holds it now
+     * @return the upstream that currently owns the address
      */
     public Optional<UpstreamRecord> findByAddress(String address) {
-        return Optional.ofNullable(holders.get(address)).flatMap(this::find);
+        return Optional.ofNullable(ownerIdByAddress.get(address)).flatMap(this::find);
     }
 
     /**
-     * Lists the upstreams of a pool that take requests.
+     * Lists the upstreams of a pool that accept requests.
      *
      * @param pool name of the pool
-     * @return in no order
+     * @return the upstreams, in no particular order
      */
     public List<UpstreamRecord> ready(String pool) {
         List<UpstreamRecord> found = new ArrayList<>();
-        for (Known known : byId.values()) {
-            UpstreamRecord news = known.news();
-            boolean ready = news.phase() == UpstreamPhase.READY && news.pool().equals(pool);
-            if (ready && !isEvacuated(news.failureDomain()) && holds(news.id(), news.address())) {
-                found.add(news);
+        for (Entry known : byId.values()) {
+            UpstreamRecord state = known.state();
+            boolean ready = state.phase() == UpstreamPhase.READY && state.pool().equals(pool);
+            if (ready && !isEvacuated(state.failureDomain()) && ownsAddress(state.id(), state.address())) {
+                found.add(state);
             }
         }
         return found;
     }
 
     /**
-     * Counts the upstreams of a pool that take requests and are cold.
+     * Counts the cold upstreams of a pool that accept requests.
      *
      * @param pool name of the pool
      * @param now  monotonic time in nanoseconds
      * @return a count
      */
     public long countCold(String pool, long now) {
-        return ready(pool).stream().filter(news -> isCold(news, now)).count();
+        return ready(pool).stream().filter(state -> isCold(state, now)).count();
     }
 
     /**
-     * Says how long ago an upstream was heard.
+     * Returns the time since an upstream was last heard.
      *
      * @param id  its id
      * @param now monotonic time in nanoseconds
-     * @return nanoseconds
+     * @return nanoseconds; {@link Long#MAX_VALUE} if the upstream is unknown
      */
     public long silenceNanos(String id, long now) {
-        Known known = byId.get(id);
-        return known == null ? Long.MAX_VALUE : now - known.heardAt();
+        Entry known = byId.get(id);
+        return known == null ? Long.MAX_VALUE : now - known.receivedAt();
     }
 
     /**
-     * Says the same in milliseconds, as records of upstreams carry it.
+     * Returns the time since an upstream was last heard in milliseconds, the unit used in records.
      *
      * @param id  its id
      * @param now monotonic time in nanoseconds
@@ -276,110 +288,110 @@
     }
 
     /**
-     * Lists all that is known, for a node that has just come.
+     * Returns all records, for a node that has just connected.
      *
      * @param now monotonic time in nanoseconds
-     * @return with the upstreams that left a short while ago
+     * @return records of all upstreams, including those that left recently
      */
     public List<UpstreamRecord> all(long now) {
         forgetSilent(now);
         return byId.values().stream()
-                .map(known -> known.news().withAge(silenceMillis(known.news().id(), now)))
+                .map(known -> known.state().withAge(silenceMillis(known.state().id(), now)))
                 .toList();
     }
 
     /**
-     * Returns an announcement as it counts for an upstream that leaves. It may go on to announce itself as before for a while, and nodes
-     * pass on what they heard earlier.
+     * Returns an announcement with the phase {@code LEAVING} if this incarnation is known to be leaving. The upstream
+     * may keep announcing its previous phase for a while, and nodes forward older announcements.
      */
-    private UpstreamRecord sinceItLeaves(UpstreamRecord announced) {
-        Known known = byId.get(announced.id());
+    private UpstreamRecord keepLeavingPhase(UpstreamRecord announced) {
+        Entry known = byId.get(announced.id());
         boolean leaves = known != null
-                && known.news().phase() == UpstreamPhase.LEAVING
-                && known.news().incarnation() == announced.incarnation();
+                && known.state().phase() == UpstreamPhase.LEAVING
+                && known.state().incarnation() == announced.incarnation();
         return leaves && announced.phase() != UpstreamPhase.GONE ? announced.leaving() : announced;
     }
 
-    private DirectoryChange leave(Known before, UpstreamRecord news, long now) {
-        if (before == null) {
-            byId.put(news.id(), new Known(news, now, now));
+    private DirectoryChange markGone(Entry previous, UpstreamRecord state, long now) {
+        if (previous == null) {
+            byId.put(state.id(), new Entry(state, now, now));
             return DirectoryChange.NONE;
         }
-        holders.remove(before.news().address(), news.id());
-        UpstreamRecord gone = isOther(news.incarnation(), before.news())
-                ? news
-                : before.news().gone();
-        byId.put(news.id(), new Known(gone, now, now));
-        tell(before.news().gone());
+        ownerIdByAddress.remove(previous.state().address(), state.id());
+        UpstreamRecord gone = isOtherIncarnation(state.incarnation(), previous.state())
+                ? state
+                : previous.state().gone();
+        byId.put(state.id(), new Entry(gone, now, now));
+        notifyListeners(previous.state().gone());
         return DirectoryChange.CHANGED;
     }
 
-    private boolean takeAddress(UpstreamRecord news, long heardAt) {
-        String holder = holders.get(news.address());
-        Known held = holder == null ? null : byId.get(holder);
-        if (held != null && held.heardAt() > heardAt) {
+    private boolean claimAddress(UpstreamRecord state, long receivedAt) {
+        String ownerId = ownerIdByAddress.get(state.address());
+        Entry owner = ownerId == null ? null : byId.get(ownerId);
+        if (owner != null && owner.receivedAt() > receivedAt) {
             return false;
         }
-        holders.put(news.address(), news.id());
-        if (held != null) {
-            LOGGER.info("event=address-taken address={} upstream={} before={}", news.address(), news.id(), holder);
-            tell(held.news());
+        ownerIdByAddress.put(state.address(), state.id());
+        if (owner != null) {
+            LOGGER.info("event=address-taken address={} upstream={} before={}", state.address(), state.id(), ownerId);
+            notifyListeners(owner.state());
         }
         return true;
     }
 
-    private boolean holds(String id, String address) {
-        return id.equals(holders.get(address));
+    private boolean ownsAddress(String id, String address) {
+        return id.equals(ownerIdByAddress.get(address));
     }
 
-    private void tell(UpstreamRecord news) {
-        listeners.forEach(listener -> listener.onChange(news));
+    private void notifyListeners(UpstreamRecord state) {
+        listeners.forEach(listener -> listener.onChange(state));
     }
 
     /**
-     * Says whether news is overtaken by what is known. Within one life the sequence tells; between lives under one id the
-     * incarnation does, since a restart counts its announcements anew. By the sequence alone, an upstream that is back
-     * would stay unused until it had announced itself as often as before, and one held up on its way from the former life
-     * would undo a drain.
+     * Returns whether a record is stale compared to the known state. Within one incarnation the sequence number
+     * decides; between incarnations of one id the incarnation does, since a restart resets the sequence. Comparing
+     * the sequence alone would keep a restarted upstream unused until it had sent as many announcements as before,
+     * and a delayed announcement of the former incarnation would undo a drain.
      */
-    private static boolean isLate(UpstreamRecord known, UpstreamRecord news) {
+    private static boolean isStale(UpstreamRecord known, UpstreamRecord state) {
         boolean wasGone = known.phase() == UpstreamPhase.GONE;
-        boolean isGone = news.phase() == UpstreamPhase.GONE;
-        boolean lifeUnknown = wasGone && known.incarnation() == UpstreamRecord.UNKNOWN_INCARNATION;
-        if (!lifeUnknown && isOther(news.incarnation(), known)) {
-            return news.incarnation() < known.incarnation();
+        boolean isGone = state.phase() == UpstreamPhase.GONE;
+        boolean incarnationUnknown = wasGone && known.incarnation() == UpstreamRecord.UNKNOWN_INCARNATION;
+        if (!incarnationUnknown && isOtherIncarnation(state.incarnation(), known)) {
+            return state.incarnation() < known.incarnation();
         }
-        if (news.incarnation() < known.incarnation() && !isGone) {
+        if (state.incarnation() < known.incarnation() && !isGone) {
             return true;
         }
-        // What was read in an answer has no number of its own.
-        boolean isNumbered = !isGone && news.phase() != UpstreamPhase.LEAVING;
-        return wasGone || isNumbered && news.sequence() < known.sequence();
+        // A record derived from a response has no sequence number of its own.
+        boolean isNumbered = !isGone && state.phase() != UpstreamPhase.LEAVING;
+        return wasGone || isNumbered && state.sequence() < known.sequence();
     }
 
-    /** Says whether an incarnation that was told is another one than that of what is known. */
-    private static boolean isOther(long incarnation, UpstreamRecord known) {
+    /** Returns whether a reported incarnation differs from the known one. */
+    private static boolean isOtherIncarnation(long incarnation, UpstreamRecord known) {
         return incarnation != UpstreamRecord.UNKNOWN_INCARNATION && incarnation != known.incarnation();
     }
 
     /**
-     * Returns the news as if they carried the age and number of the older ones, to compare the rest. For how long an upstream
-     * stays cold changes with each announcement; only whether it does is a change.
+     * Returns a record with the age and sequence number of an older one, so that the other fields can be compared.
+     * The remaining cold time differs in each announcement; only a change between cold and warm counts as a change.
      */
-    private static UpstreamRecord withSequence(UpstreamRecord news, UpstreamRecord older) {
+    private static UpstreamRecord withSequence(UpstreamRecord state, UpstreamRecord older) {
         return new UpstreamRecord(
-                news.id(),
-                news.incarnation(),
-                news.pool(),
-                news.address(),
-                news.failureDomain(),
-                news.phase(),
-                news.slots(),
+                state.id(),
+                state.incarnation(),
+                state.pool(),
+                state.address(),
+                state.failureDomain(),
+                state.phase(),
+                state.slots(),
                 older.sequence(),
                 0,
-                news.isCold() == older.isCold() ? older.coldMillis() : news.coldMillis());
+                state.isCold() == older.isCold() ? older.coldMillis() : state.coldMillis());
     }
 
-    /** An upstream, when it was heard last, and when it said what is known of it. */
-    private record Known(UpstreamRecord news, long heardAt, long statedAt) {}
+    /** State of an upstream, when it was last heard, and when the state was announced. */
+    private record Entry(UpstreamRecord state, long receivedAt, long announcedAt) {}
 }
--- a/library/src/main/java/org/copperspindle/discovery/UpstreamPhase.java
+++ b/library/src/main/java/org/copperspindle/discovery/UpstreamPhase.java
@@ -1,23 +1,26 @@
 package org.copperspindle.discovery;
 
 /**
- * Where an upstream stands in its life.
+ * Phase in the life cycle of an upstream.
  */
 public enum UpstreamPhase {
-    /** Takes requests. */
+    /** Accepts requests. */
     READY,
-    /** Finishes what it has and takes nothing new. */
+    /** Completes its running requests and accepts no new ones. */
     DRAINING,
-    /** Has left; its id comes back only with a later incarnation. */
+    /** Has left; its id returns only with a later incarnation. */
     GONE,
-    /** Has said in an answer that it leaves: as if it drained, and no announcement of the same life brings it back. */
+    /**
+     * Announced in a response that it is leaving. Treated as draining, and no announcement of the same incarnation
+     * makes it ready again.
+     */
     LEAVING;
 
     /**
-     * Finds a phase by its number on the wire.
+     * Returns the phase with a wire number.
      *
      * @param number ordinal
-     * @return the phase; {@link #DRAINING} for numbers of a newer build, which is safe
+     * @return the phase; {@link #DRAINING} for numbers of a newer build, which is the safe choice
      */
     static UpstreamPhase of(long number) {
         return number >= 0 && number < values().length ? values()[(int) number] : DRAINING;
--- a/library/src/main/java/org/copperspindle/discovery/UpstreamRecord.java
+++ b/library/src/main/java/org/copperspindle/discovery/UpstreamRecord.java
@@ -6,20 +6,19 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * What an upstream said of itself.
+ * State of an upstream as it announced it.
  *
- * @param id            identity of the upstream; a restart may have another or the same
- * @param incarnation   when this life of its process began, milliseconds since 1970 on its own clock; tells lives
- *                      under one
- *                      id apart. {@link #UNKNOWN_INCARNATION} if it does not say so
+ * @param id            identity of the upstream; may change or stay the same across restarts
+ * @param incarnation   start time of the process, in milliseconds since 1970 on its own clock; distinguishes
+ *                      incarnations under one id. {@link #UNKNOWN_INCARNATION} if the upstream does not announce it
  * @param pool          its pool
  * @param address       IP:PORT for requests; may later belong to another upstream
  * @param failureDomain its failure domain
- * @param phase         where it stands in its life
- * @param slots         requests that it runs at once
- * @param sequence      number of the announcement within this life, to order late ones
- * @param ageMillis     how long ago the sender of this record heard it
- * @param coldMillis    how much longer it stays cold, counted from when it said so; 0 if it is not cold
+ * @param phase         phase of its life cycle
+ * @param slots         number of requests that it runs concurrently
+ * @param sequence      number of the announcement within this incarnation, to order delayed ones
+ * @param ageMillis     time since the sender of this record received the announcement, in milliseconds
+ * @param coldMillis    remaining cold time in milliseconds, counted from the announcement; 0 if it is not cold
  */
 public record UpstreamRecord(
         String id,
@@ -34,7 +33,7 @@
         long coldMillis)
         implements WireMessage {
 
-    /** Incarnation of an upstream that does not tell when it started. */
+    /** Incarnation of an upstream that does not announce its start time. */
     public static final long UNKNOWN_INCARNATION = 0;
 
     /** Codec of this message. */
@@ -42,16 +41,16 @@
             MessageCodec.of(220, UpstreamRecord.class, UpstreamRecord::write, UpstreamRecord::read);
 
     /**
-     * Makes the record of an upstream that has left.
+     * Returns a copy that marks the upstream as gone.
      *
-     * @return the same upstream, gone
+     * @return the same upstream in the phase {@code GONE}
      */
     public UpstreamRecord gone() {
         return new UpstreamRecord(
                 id, incarnation, pool, address, failureDomain, UpstreamPhase.GONE, slots, sequence, ageMillis, 0);
     }
 
-    /** Makes the record of an upstream that has said that it leaves. */
+    /** Returns a copy that marks the upstream as leaving. */
     UpstreamRecord leaving() {
         return new UpstreamRecord(
                 id,
@@ -67,13 +66,13 @@
     }
 
     /**
-     * Makes the record of an upstream that has left and was not known before.
+     * Creates the record of an upstream that has left without having been known before.
      *
      * @param id          its id
-     * @param incarnation the life that has ended
+     * @param incarnation incarnation that has ended
      * @return a record without address and pool
      */
-    static UpstreamRecord goneUnheard(String id, long incarnation) {
+    static UpstreamRecord goneUnknown(String id, long incarnation) {
         return new UpstreamRecord(id, incarnation, "", "", "", UpstreamPhase.GONE, 0, 0, 0, 0);
     }
 
@@ -83,16 +82,17 @@
     }
 
     /**
-     * Says whether what was known of one life of the upstream is over: it has left, or another life has begun.
+     * Returns whether an incarnation of this upstream is over: the upstream has left, or another incarnation has
+     * started.
      *
-     * @param life incarnation of that life
-     * @return false while the life goes on
+     * @param previousIncarnation incarnation to check
+     * @return false while that incarnation is alive
      */
-    public boolean endsIncarnation(long life) {
-        return phase == UpstreamPhase.GONE || incarnation != life;
+    public boolean endsIncarnation(long previousIncarnation) {
+        return phase == UpstreamPhase.GONE || incarnation != previousIncarnation;
     }
 
-    /** Says whether the upstream was cold when it announced itself. */
+    /** Returns whether the upstream was cold when it announced itself. */
     boolean isCold() {
         return coldMillis > 0;
     }
--- a/library/src/main/java/org/copperspindle/discovery/UpstreamRecordsMessage.java
+++ b/library/src/main/java/org/copperspindle/discovery/UpstreamRecordsMessage.java
@@ -8,11 +8,11 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * Announcements that a node passes on to another.
+ * Upstream announcements that a node forwards to another node.
  *
- * @param news in the order in which they were heard
+ * @param records records in the order in which they were received
  */
-public record UpstreamRecordsMessage(List<UpstreamRecord> news) implements WireMessage {
+public record UpstreamRecordsMessage(List<UpstreamRecord> records) implements WireMessage {
 
     /** Codec of this message. */
     public static final MessageCodec<UpstreamRecordsMessage> CODEC = MessageCodec.of(
@@ -20,11 +20,11 @@
 
     /** Copies the list. */
     public UpstreamRecordsMessage {
-        news = List.copyOf(news);
+        records = List.copyOf(records);
     }
 
     private void write(FieldWriter out) {
-        out.put(1, news.stream().map(UpstreamRecord::encode).toList());
+        out.put(1, records.stream().map(UpstreamRecord::encode).toList());
     }
 
     private static UpstreamRecordsMessage read(FieldReader in) {
--- a/library/src/main/java/org/copperspindle/discovery/package-info.java
+++ b/library/src/main/java/org/copperspindle/discovery/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Upstreams as they announce themselves: soft state, kept by every node and passed on between nodes.
+ * Directory of upstreams as they announce themselves: soft state that every node keeps and exchanges with the other
+ * nodes.
  */
 package org.copperspindle.discovery;
--- a/library/src/test/java/org/copperspindle/discovery/DirectoryGossipTest.java
+++ b/library/src/test/java/org/copperspindle/discovery/DirectoryGossipTest.java
@@ -44,16 +44,16 @@
     }
 
     /**
-     * Upstreams announce themselves every 1.2 s to one node each, which passes that on. With four upstreams a node its messages
-     * to all others must not be as many as the announcements, and what waited for others must carry its age: taken for
-     * fresh, an upstream that has died would be used for longer.
+     * Upstreams announce themselves every 1.2 s to one node each, which forwards the announcements. With many
+     * upstreams per node the node must batch them instead of sending one message per announcement. A batched
+     * announcement must carry its age: treated as fresh, it would keep a dead upstream in use for longer.
      */
     @ParameterizedTest
     @ValueSource(ints = {1, 4, 40})
-    void repeatedAnnouncementsGoTogetherWithTheirAge(int upstreams) {
-        for (int beat = 0; beat < 10; beat++) {
+    void repeatedAnnouncementsAreBatchedWithTheirAge(int upstreams) {
+        for (int round = 0; round < 10; round++) {
             for (int i = 0; i < upstreams; i++) {
-                gossip.onAnnouncement(news(i, beat));
+                gossip.onAnnouncement(announcement(i, round));
                 time.advance(Duration.ofMillis(1200).toNanos() / upstreams);
             }
         }
@@ -62,20 +62,20 @@
                 .toList();
         assertThat(repeats).hasSizeBetween(9, 20);
         assertThat(repeats)
-                .allSatisfy(message -> assertThat(message.news())
-                        .allSatisfy(news -> assertThat(news.ageMillis()).isBetween(0L, 600L)));
-        assertThat(repeats.get(3).news().get(0).ageMillis()).isEqualTo(600);
+                .allSatisfy(message -> assertThat(message.records())
+                        .allSatisfy(each -> assertThat(each.ageMillis()).isBetween(0L, 600L)));
+        assertThat(repeats.get(3).records().get(0).ageMillis()).isEqualTo(600);
     }
 
-    /** An upstream drains: it must get no new work within a short while, so that this waits for nothing. */
+    /** A draining upstream must stop receiving work quickly, so a change is not batched. */
     @Test
-    void changeIsPassedOnAtOnce() {
-        gossip.onAnnouncement(news(1, 0));
+    void changesAreForwardedImmediately() {
+        gossip.onAnnouncement(announcement(1, 0));
         gossip.onLeft("u1", UpstreamRecord.UNKNOWN_INCARNATION, "drained");
         assertThat(other.sent(UpstreamRecordsMessage.class)).hasSize(2);
     }
 
-    private static UpstreamRecord news(int number, long sequence) {
+    private static UpstreamRecord announcement(int number, long sequence) {
         return new UpstreamRecord(
                 "u" + number, 0, "p", "10.0.0." + number + ":1", "d", UpstreamPhase.READY, 1, sequence, 0, 0);
     }
