--- /dev/null
+++ b/library/src/main/java/org/copperspindle/quarantine/PoolTerminationHistory.java
@@ -0,0 +1,52 @@
+package org.copperspindle.quarantine;
+
+import java.time.Duration;
+import java.util.ArrayDeque;
+import java.util.Deque;
+import java.util.Set;
+
+import org.copperspindle.measure.SlidingCount;
+
+/**
+ * Recent history of the upstreams of one pool as this node observed it: runs that they survived, and terminations
+ * with the requests that were running. It distinguishes a request that crashes upstreams from one that runs on all of
+ * them.
+ */
+final class PoolTerminationHistory {
+
+    /** Observation window. It covers several consecutive terminations: a restart of an upstream takes seconds. */
+    private static final long WINDOW_NANOS = Duration.ofSeconds(10).toNanos();
+
+    private static final int BUCKETS = 2;
+
+    /** Maximum number of terminations kept; more than that within the window are many in any case. */
+    private static final int MAX_TERMINATIONS = 64;
+
+    private final Deque<Termination> terminations = new ArrayDeque<>();
+    private final SlidingCount survivedRuns = new SlidingCount(BUCKETS, WINDOW_NANOS / BUCKETS);
+
+    void recordSurvivedRun(long now) {
+        survivedRuns.add(now);
+    }
+
+    /** Records the termination of an upstream incarnation with the requests of this node that were running there. */
+    void recordTermination(String incarnation, Set<RequestDigest> requests, long now) {
+        terminations.addLast(new Termination(incarnation, requests, now));
+        if (terminations.size() > MAX_TERMINATIONS) {
+            terminations.removeFirst();
+        }
+    }
+
+    /** Returns whether more upstreams terminated without a request than runs survived. */
+    boolean terminatesMoreWithout(RequestDigest request, long now) {
+        terminations.removeIf(termination -> now - termination.at() > WINDOW_NANOS);
+        long terminatedWithout = terminations.stream()
+                .filter(termination -> !termination.requests().contains(request))
+                .map(Termination::incarnation)
+                .distinct()
+                .count();
+        return terminatedWithout > survivedRuns.sum(now);
+    }
+
+    private record Termination(String incarnation, Set<RequestDigest> requests, long at) {}
+}
--- a/library/src/main/java/org/copperspindle/quarantine/QuarantinedRequest.java
+++ b/library/src/main/java/org/copperspindle/quarantine/QuarantinedRequest.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * A request that is held off, as operators see it.
+ * A quarantined request, as shown to operators.
  *
- * @param digest          names it
+ * @param digest          identifies the request
  * @param route           its route
  * @param account         its client account, empty for callers without one
- * @param upstreams       upstreams that ended under it, some of them
- * @param sinceMillis     how long ago the last of them ended
- * @param remainingMillis how much longer it is held off
+ * @param upstreams       some of the upstreams that terminated while running it
+ * @param sinceMillis     time since the last of them terminated
+ * @param remainingMillis remaining quarantine time
  */
 public record QuarantinedRequest(
         String digest, String route, String account, List<String> upstreams, long sinceMillis, long remainingMillis) {
@@ -18,13 +18,13 @@
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
     static QuarantinedRequest of(Suspicion suspicion) {
-        long hold = HoldPolicy.holdNanos(suspicion.level()) / NANOS_PER_MILLI;
+        long quarantineMillis = QuarantinePolicy.quarantineNanos(suspicion.level()) / NANOS_PER_MILLI;
         return new QuarantinedRequest(
                 suspicion.digest().text(),
                 suspicion.route(),
                 suspicion.account(),
                 suspicion.upstreams(),
                 suspicion.ageMillis(),
-                hold - suspicion.ageMillis());
+                quarantineMillis - suspicion.ageMillis());
     }
 }
--- a/library/src/main/java/org/copperspindle/quarantine/RequestDigest.java
+++ b/library/src/main/java/org/copperspindle/quarantine/RequestDigest.java
@@ -8,11 +8,11 @@
 import java.util.HexFormat;
 
 /**
- * Names what a caller asked for, whichever attempt of the caller brings it: the client account, the method, the host, the
- * target and the body. Identities, times and other header fields differ between attempts and are left out. The body can't be
- * read from it.
+ * Identifies the content of a request independent of the attempt that carries it: a digest of the client account, the
+ * method, the host, the target and the body. Request ids, times and other header fields differ between attempts and
+ * are left out. The body cannot be recovered from the digest.
  *
- * @param text 32 hexadecimal digits: half of a SHA-256, so that nobody can make another request have the same
+ * @param text 32 hexadecimal digits: half of a SHA-256, long enough to make forged collisions infeasible
  */
 public record RequestDigest(String text) {
 
@@ -23,10 +23,10 @@
      *
      * @param account name of the client account, empty for a caller without one
      * @param method  HTTP method
-     * @param host    host that the request names
-     * @param uri     target as it stood in the request line
+     * @param host    host named by the request
+     * @param uri     target as given in the request line
      * @param body    body, empty for none
-     * @return equal for equal arguments only
+     * @return the digest, equal for equal arguments only
      */
     public static RequestDigest of(String account, String method, String host, String uri, byte[] body) {
         MessageDigest hash = sha256();
@@ -37,7 +37,7 @@
         return new RequestDigest(HexFormat.of().formatHex(Arrays.copyOf(hash.digest(), BYTES)));
     }
 
-    /** The length goes first, so that no part can reach into the next one. */
+    /** Adds a part with its length as a prefix, so that the boundary between two parts is unambiguous. */
     private static void add(MessageDigest hash, byte[] part) {
         hash.update(ByteBuffer.allocate(Integer.BYTES).putInt(part.length).flip());
         hash.update(part);
--- a/library/src/main/java/org/copperspindle/quarantine/RequestQuarantine.java
+++ b/library/src/main/java/org/copperspindle/quarantine/RequestQuarantine.java
@@ -23,20 +23,21 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * Holds requests off that end the upstreams that run them. Such a request comes again at any node, so each node tells the others at
- * once under which requests an upstream ended: kept at one node, or with the upstream that is gone, the ends would never add
- * up, and upstream after upstream would end with everything that runs there. A request that an upstream outlives is cleared
- * everywhere. Network thread only.
+ * Quarantines requests that terminate the upstreams that run them. Such a request may be retried at any node, so each
+ * node immediately tells the others under which requests an upstream terminated. If the count were kept at one node,
+ * or with the terminated upstream, it would never add up, and the request would terminate one upstream after the
+ * other with everything that runs there. A request that an upstream survives is cleared on all nodes. Must be used on
+ * the network thread only.
  */
 public final class RequestQuarantine implements MeshListener {
 
     private static final Logger LOGGER = LogManager.getLogger(RequestQuarantine.class);
 
-    /** Suspicions in one message: some 25 KB, a small part of the largest frame. */
-    private static final int CHUNK = 256;
+    /** Maximum number of suspicions in one message: about 25 KB, a small part of the largest frame. */
+    private static final int MAX_PER_MESSAGE = 256;
 
-    /** Where a suspicion comes from that another node told of; else it is the id of the request that ran here. */
-    private static final String TOLD = "told";
+    /** Origin, in log lines, of a suspicion received from another node; for a local one it is the id of the request. */
+    private static final String FROM_OTHER_NODE = "told";
 
     private static final long SWEEP_NANOS = Duration.ofSeconds(30).toNanos();
 
@@ -44,58 +45,58 @@
     private final TimerService timers;
     private final DecisionLog log;
     private final SuspicionTable table = new SuspicionTable();
-    private final UpstreamEnds ends;
+    private final TerminatedUpstreamDetector terminationDetector;
     private final DeferredTask sweep;
-    private final EndedUpstreams endedUpstreams = new EndedUpstreams();
-    private final Map<String, PoolSurvival> survival = new HashMap<>();
+    private final TerminatedUpstreams terminatedIncarnations = new TerminatedUpstreams();
+    private final Map<String, PoolTerminationHistory> historyByPool = new HashMap<>();
     private long terminatedUpstreams;
 
     /**
-     * Creates the quarantine; to be subscribed to the mesh.
+     * Creates the quarantine. The caller subscribes it to the mesh.
      *
-     * @param mesh      the nodes
-     * @param timers    time on the network thread
-     * @param directory the upstreams
-     * @param listens   finds out whether an upstream is still there
-     * @param log       bounds log lines
+     * @param mesh        the nodes
+     * @param timers      timers of the network thread
+     * @param directory   the upstream directory
+     * @param listenCheck checks whether an upstream still listens
+     * @param log         rate limit for log lines
      */
     public RequestQuarantine(
-            NodeMesh mesh, TimerService timers, UpstreamDirectory directory, ListenCheck listens, DecisionLog log) {
+            NodeMesh mesh, TimerService timers, UpstreamDirectory directory, ListenCheck listenCheck, DecisionLog log) {
         this.mesh = mesh;
         this.log = log;
         this.timers = timers;
         this.sweep = new DeferredTask(timers, this::sweep);
-        this.ends = new UpstreamEnds(directory, timers, listens, this::upstreamEnded);
-        directory.subscribe(ends);
+        this.terminationDetector = new TerminatedUpstreamDetector(directory, timers, listenCheck, this::onTerminated);
+        directory.subscribe(terminationDetector);
     }
 
     /**
-     * Says whether a request must not be run. Costs nothing while no request is suspected.
+     * Returns whether a request must not run. Costs nothing while no request is suspected.
      *
      * @param request the request
-     * @return true while it is held off
+     * @return true while it is quarantined
      */
     public boolean isQuarantined(TrackedRequest request) {
         return !table.isEmpty() && table.isQuarantined(request.digest(), timers.nanoTime());
     }
 
     /**
-     * Says whether an upstream ended under a request and none has outlived it since.
+     * Returns whether an upstream terminated while running a request and none has survived it since.
      *
      * @param request the request
-     * @return true also while it is held off
+     * @return true also while it is quarantined
      */
     public boolean isSuspected(TrackedRequest request) {
         return find(request).filter(Suspicion::isSuspected).isPresent();
     }
 
     /**
-     * Notes that a request is sent to an upstream.
+     * Records that a request is sent to an upstream.
      *
      * @param request  the request
      * @param upstream the upstream
-     * @param previous the run before this one in the same attempt of the caller
-     * @return the run, of which {@link #onSurvived} or {@link #onConnectionFailure} tells the end
+     * @param previous the previous run in the same attempt of the caller
+     * @return the run, whose outcome is reported by {@link #onSurvived} or {@link #onConnectionFailure}
      */
     public UpstreamRun startRun(TrackedRequest request, UpstreamRecord upstream, Optional<UpstreamRun> previous) {
         Optional<Suspicion> known = find(request);
@@ -105,61 +106,61 @@
                 known.map(Suspicion::epoch).orElse(0L),
                 known.map(Suspicion::level).orElse(0),
                 previous,
-                endedUpstreams.contains(UpstreamLife.of(upstream)));
+                terminatedIncarnations.contains(UpstreamIncarnation.of(upstream)));
     }
 
     /**
-     * Notes that an upstream ran a request to its end and is still there, whatever it answered.
+     * Records that an upstream completed a request and is still alive, whatever its response was.
      *
      * @param run the run
      */
     public void onSurvived(UpstreamRun run) {
         long now = timers.nanoTime();
-        survival(run.request().pool()).outlived(now);
-        endedUpstreams.answered(run.life());
+        historyOf(run.request().pool()).recordSurvivedRun(now);
+        terminatedIncarnations.markAlive(run.incarnation());
         find(run.request()).filter(Suspicion::isSuspected).ifPresent(known -> clear(known, "outlived"));
     }
 
     /**
-     * Notes that a run lost its connection, and finds out whether its upstream ended.
+     * Records that a run lost its connection, and checks whether its upstream terminated.
      *
-     * @param run      the run
-     * @param wasThere false if it went out on a connection that was kept, and nothing came back on it: the upstream may have ended
-     *                 before
-     * @param known    called when the request may be sent again as far as the quarantine goes: at once, but for a suspected
-     *                 request only when it is known whether it ended this upstream as well
+     * @param run       the run
+     * @param wasAlive  false if the request was sent on a kept-alive connection and no byte came back: the upstream
+     *                  may have terminated before
+     * @param mayResend called when the quarantine permits the request to be resent: immediately, but for a suspected
+     *                  request only once it is known whether it terminated this upstream as well
      */
-    public void onConnectionFailure(UpstreamRun run, boolean wasThere, Runnable known) {
-        if (!wasThere) {
-            run.mayHaveComeTooLate();
+    public void onConnectionFailure(UpstreamRun run, boolean wasAlive, Runnable mayResend) {
+        if (!wasAlive) {
+            run.markPossiblyTooLate();
         }
-        if (run.sentInVain()) {
-            known.run();
+        if (run.sentAfterTermination()) {
+            mayResend.run();
             return;
         }
         if (isSuspected(run.request())) {
-            ends.lost(run, known);
+            terminationDetector.checkUpstream(run, mayResend);
         } else {
-            ends.lost(run, () -> {});
-            known.run();
+            terminationDetector.checkUpstream(run, () -> {});
+            mayResend.run();
         }
     }
 
     /**
-     * Lists the requests that are held off.
+     * Lists the quarantined requests.
      *
-     * @return in no order
+     * @return the requests, in no particular order
      */
     public List<QuarantinedRequest> quarantined() {
-        return table.held(timers.nanoTime()).stream()
+        return table.quarantined(timers.nanoTime()).stream()
                 .map(QuarantinedRequest::of)
                 .toList();
     }
 
     /**
-     * Lets a request run again everywhere.
+     * Lifts the quarantine of a request on all nodes.
      *
-     * @param digest names the request
+     * @param digest identifies the request
      * @return false if it is not suspected
      */
     public boolean lift(RequestDigest digest) {
@@ -169,18 +170,18 @@
     }
 
     /**
-     * Counts the requests that are remembered.
+     * Returns the number of tracked requests.
      *
-     * @return suspected, held off or cleared lately
+     * @return number of requests that are suspected, quarantined or were cleared recently
      */
     public int trackedRequests() {
         return table.size();
     }
 
     /**
-     * Counts the upstreams that ended under runs of this node.
+     * Returns the number of upstreams that terminated under runs of this node.
      *
-     * @return since the start
+     * @return a count since the start of the process
      */
     public long terminatedUpstreams() {
         return terminatedUpstreams;
@@ -188,34 +189,34 @@
 
     @Override
     public void onNodeUp(MeshNode node) {
-        tell(table.all(timers.nanoTime()), List.of(node));
+        sendTo(table.all(timers.nanoTime()), List.of(node));
     }
 
     @Override
     public void onConnectionLost(MeshNode node) {
-        tell(table.all(timers.nanoTime()), List.of(node));
+        sendTo(table.all(timers.nanoTime()), List.of(node));
     }
 
     @Override
     public void onMessage(MeshNode node, WireMessage message) {
-        if (!(message instanceof SuspicionMessage heard)) {
+        if (!(message instanceof SuspicionMessage received)) {
             return;
         }
-        List<Suspicion> news = heard.suspicions().stream()
-                .filter(each -> accept(each, TOLD))
+        List<Suspicion> changed = received.suspicions().stream()
+                .filter(each -> accept(each, FROM_OTHER_NODE))
                 .map(each -> table.find(each.digest(), timers.nanoTime()).orElse(each))
                 .toList();
-        // Where some nodes are cut off from each other, those that both reach pass it on.
-        tell(
-                news,
+        // If some nodes cannot reach each other, a node that reaches both forwards the suspicion.
+        sendTo(
+                changed,
                 mesh.nodes().stream()
                         .filter(other -> other != node && !node.neighbours().contains(other.address()))
                         .toList());
     }
 
-    /** An empty table makes requests cheap again. */
+    /** Removes expired suspicions; an empty table makes the check of each request free again. */
     private void sweep() {
-        table.forgetOld(timers.nanoTime());
+        table.removeExpired(timers.nanoTime());
         if (!table.isEmpty()) {
             sweep.schedule(SWEEP_NANOS);
         }
@@ -225,60 +226,63 @@
         return table.isEmpty() ? Optional.empty() : table.find(request.digest(), timers.nanoTime());
     }
 
-    private PoolSurvival survival(String pool) {
-        return survival.computeIfAbsent(pool, p -> new PoolSurvival());
+    private PoolTerminationHistory historyOf(String pool) {
+        return historyByPool.computeIfAbsent(pool, p -> new PoolTerminationHistory());
     }
 
-    private void upstreamEnded(UpstreamRecord upstream, List<UpstreamRun> runs) {
+    private void onTerminated(UpstreamRecord upstream, List<UpstreamRun> runs) {
         long now = timers.nanoTime();
         terminatedUpstreams++;
-        String life = UpstreamLife.of(upstream).text();
-        PoolSurvival pool = survival(upstream.pool());
-        Set<RequestDigest> ran =
+        String incarnation = UpstreamIncarnation.of(upstream).text();
+        PoolTerminationHistory pool = historyOf(upstream.pool());
+        Set<RequestDigest> requests =
                 runs.stream().map(run -> run.request().digest()).collect(Collectors.toSet());
-        pool.ended(life, ran, now);
-        endedUpstreams.add(List.of(life));
-        List<Suspicion> news = new ArrayList<>();
+        pool.recordTermination(incarnation, requests, now);
+        terminatedIncarnations.add(List.of(incarnation));
+        List<Suspicion> changed = new ArrayList<>();
         for (UpstreamRun run : runs) {
             TrackedRequest request = run.request();
-            int step = pool.endsWithout(request.digest(), now) ? HoldPolicy.END_AMONG_OTHERS : HoldPolicy.END;
+            int step = pool.terminatesMoreWithout(request.digest(), now)
+                    ? QuarantinePolicy.STEP_AMONG_OTHER_TERMINATIONS
+                    : QuarantinePolicy.STEP;
             int level = run.levelAfter(step);
-            run.ended(level);
+            run.terminated(level);
             Suspicion suspicion = new Suspicion(
-                    request.digest(), run.epoch(), level, List.of(life), request.route(), request.account(), 0);
+                    request.digest(), run.epoch(), level, List.of(incarnation), request.route(), request.account(), 0);
             if (accept(suspicion, request.id())) {
-                news.add(suspicion);
+                changed.add(suspicion);
             }
         }
-        tell(news, mesh.nodes());
+        sendTo(changed, mesh.nodes());
     }
 
     private void clear(Suspicion known, String reason) {
         Suspicion cleared = known.cleared();
         accept(cleared, reason);
-        tell(List.of(cleared), mesh.nodes());
+        sendTo(List.of(cleared), mesh.nodes());
     }
 
-    private boolean accept(Suspicion heard, String from) {
+    private boolean accept(Suspicion received, String from) {
         long now = timers.nanoTime();
-        boolean heldBefore = table.isQuarantined(heard.digest(), now);
-        int levelBefore = table.find(heard.digest(), now).map(Suspicion::level).orElse(0);
-        if (!table.accept(heard, now)) {
+        boolean quarantinedBefore = table.isQuarantined(received.digest(), now);
+        int levelBefore =
+                table.find(received.digest(), now).map(Suspicion::level).orElse(0);
+        if (!table.accept(received, now)) {
             return false;
         }
         sweep.schedule(SWEEP_NANOS);
-        endedUpstreams.add(heard.upstreams());
-        Suspicion known = table.find(heard.digest(), now).orElse(heard);
-        boolean held = table.isQuarantined(known.digest(), now);
-        if (held != heldBefore) {
-            note(held ? "held-off" : "cleared", known, from);
-        } else if (known.level() > levelBefore && !from.equals(TOLD) && log.takesFailed(now)) {
-            note("suspected", known, from);
+        terminatedIncarnations.add(received.upstreams());
+        Suspicion known = table.find(received.digest(), now).orElse(received);
+        boolean quarantined = table.isQuarantined(known.digest(), now);
+        if (quarantined != quarantinedBefore) {
+            logChange(quarantined ? "held-off" : "cleared", known, from);
+        } else if (known.level() > levelBefore && !from.equals(FROM_OTHER_NODE) && log.takesFailed(now)) {
+            logChange("suspected", known, from);
         }
         return true;
     }
 
-    private static void note(String event, Suspicion known, String from) {
+    private static void logChange(String event, Suspicion known, String from) {
         LOGGER.info(
                 "event=request-{} digest={} from={} level={} epoch={} hold_ms={} route={} account={} upstreams={}",
                 event,
@@ -286,15 +290,16 @@
                 from,
                 known.level(),
                 known.epoch(),
-                Duration.ofNanos(HoldPolicy.holdNanos(known.level())).toMillis(),
+                Duration.ofNanos(QuarantinePolicy.quarantineNanos(known.level()))
+                        .toMillis(),
                 known.route(),
                 known.account(),
                 known.upstreams());
     }
 
-    private static void tell(List<Suspicion> suspicions, List<MeshNode> nodes) {
-        for (int from = 0; from < suspicions.size(); from += CHUNK) {
-            List<Suspicion> chunk = suspicions.subList(from, Math.min(suspicions.size(), from + CHUNK));
+    private static void sendTo(List<Suspicion> suspicions, List<MeshNode> nodes) {
+        for (int from = 0; from < suspicions.size(); from += MAX_PER_MESSAGE) {
+            List<Suspicion> chunk = suspicions.subList(from, Math.min(suspicions.size(), from + MAX_PER_MESSAGE));
             nodes.forEach(node -> node.send(new SuspicionMessage(chunk)));
         }
     }
--- a/library/src/main/java/org/copperspindle/quarantine/Suspicion.java
+++ b/library/src/main/java/org/copperspindle/quarantine/Suspicion.java
@@ -10,16 +10,17 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * What is thought of one request. Nodes merge what they hear in any order and any number of times, and come to the same: a later
- * epoch replaces an earlier one, and within an epoch the highest level holds.
+ * Suspicion that a request terminates upstreams. Nodes merge received suspicions in any order and any number of times
+ * with the same result: a later epoch replaces an earlier one, and within an epoch the highest level wins.
  *
- * @param digest    names the request
- * @param epoch     how often it was cleared: an upstream outlived it, or an operator lifted the hold
- * @param level     how strongly it is suspected, see {@link HoldPolicy}; zero once cleared
- * @param upstreams ids of upstreams that ended under it, some of them
+ * @param digest    identifies the request
+ * @param epoch     number of times it was cleared, because an upstream survived it or an operator lifted the
+ *                  quarantine
+ * @param level     strength of the suspicion, see {@link QuarantinePolicy}; zero once cleared
+ * @param upstreams ids of some of the upstreams that terminated while running it
  * @param route     its route, for operators
  * @param account   its client account, for operators
- * @param ageMillis how long ago the last of them ended, or it was cleared
+ * @param ageMillis time since the last of them terminated, or since it was cleared
  */
 record Suspicion(
         RequestDigest digest,
@@ -35,44 +36,44 @@
     static final MessageCodec<Suspicion> CODEC =
             MessageCodec.of(222, Suspicion.class, Suspicion::write, Suspicion::read);
 
-    /** As many as an operator looks up. */
+    /** Maximum number of upstreams kept; enough for an operator to investigate. */
     private static final int MAX_UPSTREAMS = 8;
 
-    // Bounds what comes from other nodes: their build may have other limits.
+    // Bounds values received from other nodes, whose build may have other limits.
     Suspicion {
         upstreams = upstreams.stream().limit(MAX_UPSTREAMS).toList();
-        level = Math.max(0, Math.min(HoldPolicy.MOST, level));
+        level = Math.max(0, Math.min(QuarantinePolicy.MAX_LEVEL, level));
     }
 
-    /** Says whether an upstream ended under the request in this epoch. */
+    /** Returns whether an upstream terminated under the request in this epoch. */
     boolean isSuspected() {
         return level > 0;
     }
 
-    /** Returns the next epoch of it, cleared now. */
+    /** Returns the suspicion of the next epoch, cleared now. */
     Suspicion cleared() {
         return new Suspicion(digest, epoch + 1, 0, List.of(), route, account, 0);
     }
 
-    /** Returns what this and another one say together. */
+    /** Returns the union of this suspicion and another one of the same request. */
     Suspicion merge(Suspicion other) {
         if (epoch != other.epoch) {
             return epoch > other.epoch ? this : other;
         }
-        Set<String> both = new LinkedHashSet<>(upstreams);
-        both.addAll(other.upstreams);
+        Set<String> merged = new LinkedHashSet<>(upstreams);
+        merged.addAll(other.upstreams);
         return new Suspicion(
                 digest,
                 epoch,
                 Math.max(level, other.level),
-                List.copyOf(both),
+                List.copyOf(merged),
                 route,
                 account,
                 Math.min(ageMillis, other.ageMillis));
     }
 
-    /** Says whether both say the same but for their age. */
-    boolean saysSame(Suspicion other) {
+    /** Returns whether two suspicions are equal except for their age. */
+    boolean equalsIgnoringAge(Suspicion other) {
         return withAge(0).equals(other.withAge(0));
     }
 
--- a/library/src/main/java/org/copperspindle/quarantine/SuspicionMessage.java
+++ b/library/src/main/java/org/copperspindle/quarantine/SuspicionMessage.java
@@ -8,7 +8,7 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * What a node thinks of some requests.
+ * Suspicions that a node sends to another node.
  *
  * @param suspicions one for each request
  */
--- a/library/src/main/java/org/copperspindle/quarantine/SuspicionTable.java
+++ b/library/src/main/java/org/copperspindle/quarantine/SuspicionTable.java
@@ -8,13 +8,15 @@
 import java.util.Optional;
 
 /**
- * What this node thinks of requests under which upstreams ended. Bounded: only the end of an upstream enters something, and
- * when the table is full, what is least suspected makes room, so that nobody pushes a request that is held off out of it by
- * sending many others.
+ * Suspicions known to this node. Bounded: only the termination of an upstream adds an entry, and when the table is
+ * full, the least suspected entry is evicted, so that nobody can evict a quarantined request by sending many others.
  */
 final class SuspicionTable {
 
-    /** Some 200 bytes each; the requests of thirty full upstreams of 64 slots that end within minutes. */
+    /**
+     * Maximum number of entries of about 200 bytes each; covers the requests of thirty full upstreams of 64 slots
+     * that terminate within minutes.
+     */
     static final int MAX_REQUESTS = 2048;
 
     private final Map<RequestDigest, Entry> entries = new HashMap<>();
@@ -27,65 +29,65 @@
         return entries.size();
     }
 
-    /** Finds what is thought of a request, with its age now. */
+    /** Finds the suspicion of a request, with its current age. */
     Optional<Suspicion> find(RequestDigest digest, long now) {
         return Optional.ofNullable(entries.get(digest))
-                .filter(entry -> !entry.isOver(now))
-                .map(entry -> entry.told(now));
+                .filter(entry -> !entry.isExpired(now))
+                .map(entry -> entry.withCurrentAge(now));
     }
 
-    /** Says whether a request is held off. */
+    /** Returns whether a request is quarantined. */
     boolean isQuarantined(RequestDigest digest, long now) {
         Entry entry = entries.get(digest);
         return entry != null && entry.isQuarantined(now);
     }
 
-    /** Merges what is heard; returns whether it says anything new. */
-    boolean accept(Suspicion heard, long now) {
-        Optional<Suspicion> before = find(heard.digest(), now);
-        Suspicion merged = before.map(heard::merge).orElse(heard);
-        if (before.filter(merged::saysSame).isPresent()) {
+    /** Merges a received suspicion; returns whether it changed anything. */
+    boolean accept(Suspicion received, long now) {
+        Optional<Suspicion> previous = find(received.digest(), now);
+        Suspicion merged = previous.map(received::merge).orElse(received);
+        if (previous.filter(merged::equalsIgnoringAge).isPresent()) {
             return false;
         }
-        entries.put(heard.digest(), Entry.of(merged, now));
+        entries.put(received.digest(), Entry.of(merged, now));
         if (entries.size() > MAX_REQUESTS) {
-            makeRoom(now);
+            evict(now);
         }
         return true;
     }
 
-    /** Lists all that is known, for a node that knows nothing or missed some of it. */
+    /** Lists all suspicions, for a node that has just connected or lost messages. */
     List<Suspicion> all(long now) {
-        forgetOld(now);
-        return entries.values().stream().map(entry -> entry.told(now)).toList();
+        removeExpired(now);
+        return entries.values().stream().map(entry -> entry.withCurrentAge(now)).toList();
     }
 
-    /** Lists what is held off. */
-    List<Suspicion> held(long now) {
+    /** Lists the suspicions of quarantined requests. */
+    List<Suspicion> quarantined(long now) {
         return entries.values().stream()
                 .filter(entry -> entry.isQuarantined(now))
-                .map(entry -> entry.told(now))
+                .map(entry -> entry.withCurrentAge(now))
                 .toList();
     }
 
-    void forgetOld(long now) {
-        entries.values().removeIf(entry -> entry.isOver(now));
+    void removeExpired(long now) {
+        entries.values().removeIf(entry -> entry.isExpired(now));
     }
 
-    private void makeRoom(long now) {
-        forgetOld(now);
+    private void evict(long now) {
+        removeExpired(now);
         if (entries.size() > MAX_REQUESTS) {
             entries.entrySet().stream()
                     .min(Comparator.comparingInt((Map.Entry<RequestDigest, Entry> each) ->
                                     each.getValue().suspicion().level())
-                            .thenComparingLong(each -> each.getValue().at()))
+                            .thenComparingLong(each -> each.getValue().terminatedAt()))
                     .map(Map.Entry::getKey)
                     .ifPresent(entries::remove);
         }
     }
 
-    /** A suspicion, and when its last upstream ended. */
-    private record Entry(Suspicion suspicion, long at) {
+    /** A suspicion, and the time at which its last upstream terminated or it was cleared. */
+    private record Entry(Suspicion suspicion, long terminatedAt) {
 
         static Entry of(Suspicion suspicion, long now) {
             long age = Math.max(0, suspicion.ageMillis());
@@ -93,15 +95,15 @@
         }
 
         boolean isQuarantined(long now) {
-            return HoldPolicy.isQuarantined(suspicion.level(), now - at);
+            return QuarantinePolicy.isQuarantined(suspicion.level(), now - terminatedAt);
         }
 
-        boolean isOver(long now) {
-            return now - at >= HoldPolicy.keepNanos(suspicion.level());
+        boolean isExpired(long now) {
+            return now - terminatedAt >= QuarantinePolicy.retentionNanos(suspicion.level());
         }
 
-        Suspicion told(long now) {
-            return suspicion.withAge(Duration.ofNanos(now - at).toMillis());
+        Suspicion withCurrentAge(long now) {
+            return suspicion.withAge(Duration.ofNanos(now - terminatedAt).toMillis());
         }
     }
 }
--- a/library/src/main/java/org/copperspindle/quarantine/TrackedRequest.java
+++ b/library/src/main/java/org/copperspindle/quarantine/TrackedRequest.java
@@ -4,8 +4,8 @@
 import java.util.function.Supplier;
 
 /**
- * A request as far as it matters when an upstream ends under it. The digest is computed when it is first asked for: most
- * requests never need one.
+ * A request with the properties that the quarantine needs when an upstream terminates. The digest is computed lazily,
+ * since most requests never need one.
  */
 public final class TrackedRequest {
 
@@ -13,35 +13,36 @@
     private final String route;
     private final String account;
     private final String pool;
-    private final Supplier<RequestDigest> compute;
+    private final Supplier<RequestDigest> digestSupplier;
     private Optional<RequestDigest> digest = Optional.empty();
 
     /**
-     * Describes a request.
+     * Creates a tracked request.
      *
-     * @param id      identity of the caller's attempt, for log lines
-     * @param route   name of its route, for operators
-     * @param account name of its client account, for operators
-     * @param pool    pool that runs it
-     * @param compute computes its digest
+     * @param id             id of the caller's attempt, for log lines
+     * @param route          name of its route, for operators
+     * @param account        name of its client account, for operators
+     * @param pool           pool that runs the request
+     * @param digestSupplier computes the digest
      */
-    public TrackedRequest(String id, String route, String account, String pool, Supplier<RequestDigest> compute) {
+    public TrackedRequest(
+            String id, String route, String account, String pool, Supplier<RequestDigest> digestSupplier) {
         this.id = id;
         this.route = route;
         this.account = account;
         this.pool = pool;
-        this.compute = compute;
+        this.digestSupplier = digestSupplier;
     }
 
     /**
-     * Returns what names the request, whichever attempt of its caller brings it.
+     * Returns the digest that identifies the request in every attempt of its caller.
      *
-     * @return the same each time
+     * @return the digest, computed on the first call
      */
     public RequestDigest digest() {
-        RequestDigest known = digest.orElseGet(compute);
-        digest = Optional.of(known);
-        return known;
+        RequestDigest computed = digest.orElseGet(digestSupplier);
+        digest = Optional.of(computed);
+        return computed;
     }
 
     String id() {
--- a/library/src/main/java/org/copperspindle/quarantine/UpstreamRun.java
+++ b/library/src/main/java/org/copperspindle/quarantine/UpstreamRun.java
@@ -5,9 +5,9 @@
 import org.copperspindle.discovery.UpstreamRecord;
 
 /**
- * One run of a request at one upstream, with what was thought of the request when it was sent there. If the upstream ends, that
- * tells its end from one that came before it: ends count one after the other only where the next run was sent in knowledge
- * of the last.
+ * One run of a request at one upstream, with the suspicion level known when the request was sent. If the upstream
+ * terminates, this distinguishes consecutive terminations from independent ones: terminations add up only if the
+ * later run was started with knowledge of the earlier termination.
  */
 public final class UpstreamRun {
 
@@ -16,8 +16,8 @@
     private final long epoch;
     private final int levelBefore;
     private final Optional<UpstreamRun> previous;
-    private final boolean sentInVain;
-    private boolean wasThere = true;
+    private final boolean sentAfterTermination;
+    private boolean wasAlive = true;
     private int levelAfter;
 
     UpstreamRun(
@@ -26,19 +26,19 @@
             long epoch,
             int levelBefore,
             Optional<UpstreamRun> previous,
-            boolean sentInVain) {
+            boolean sentAfterTermination) {
         this.request = request;
         this.upstream = upstream;
         this.epoch = epoch;
         this.levelBefore = levelBefore;
         this.previous = previous;
-        this.sentInVain = sentInVain;
+        this.sentAfterTermination = sentAfterTermination;
     }
 
     /**
      * Returns the upstream.
      *
-     * @return as it was known when the request was sent there
+     * @return the upstream as it was known when the request was sent
      */
     public UpstreamRecord upstream() {
         return upstream;
@@ -47,34 +47,34 @@
     /**
      * Returns the request.
      *
-     * @return the request that runs
+     * @return the request
      */
     public TrackedRequest request() {
         return request;
     }
 
-    UpstreamLife life() {
-        return UpstreamLife.of(upstream);
+    UpstreamIncarnation incarnation() {
+        return UpstreamIncarnation.of(upstream);
     }
 
-    /** Says whether the upstream was known to have ended when the request was sent there. */
-    boolean sentInVain() {
-        return sentInVain;
+    /** Returns whether the upstream was known to have terminated when the request was sent. */
+    boolean sentAfterTermination() {
+        return sentAfterTermination;
     }
 
-    /** Notes that nothing shows that the upstream was still there when the request was sent. */
-    void mayHaveComeTooLate() {
-        wasThere = false;
+    /** Marks that there is no proof that the upstream was alive when the request was sent. */
+    void markPossiblyTooLate() {
+        wasAlive = false;
     }
 
     /**
-     * Returns the level that the request has by the end of the upstream. A kept connection that is lost without a byte may have been dead
-     * before: this can begin a suspicion and never adds to one.
+     * Returns the level of the request after the termination of the upstream. A kept-alive connection that was lost
+     * without a byte may have been dead before, so it can start a suspicion but never raise one.
      *
-     * @param step what the end adds
+     * @param step increment for the termination
      */
     int levelAfter(int step) {
-        return wasThere ? levelBefore() + step : Math.max(levelBefore(), step);
+        return wasAlive ? levelBefore() + step : Math.max(levelBefore(), step);
     }
 
     long epoch() {
@@ -82,18 +82,18 @@
     }
 
     /**
-     * Returns the level that the request had before this run. The run before it in the same attempt of the caller may have
-     * been found to end its upstream only after this one was sent.
+     * Returns the level of the request before this run. The previous run in the same attempt of the caller may have
+     * been found to terminate its upstream only after this run was sent.
      */
     int levelBefore() {
-        int ofPrevious = previous.filter(run -> run.epoch == epoch)
+        int previousLevel = previous.filter(run -> run.epoch == epoch)
                 .map(run -> run.levelAfter)
                 .orElse(0);
-        return Math.max(levelBefore, ofPrevious);
+        return Math.max(levelBefore, previousLevel);
     }
 
-    /** Notes that the upstream ended under it, and which level the request has by that. */
-    void ended(int level) {
+    /** Records that the upstream terminated, and the resulting level of the request. */
+    void terminated(int level) {
         levelAfter = level;
     }
 }
--- a/library/src/main/java/org/copperspindle/quarantine/package-info.java
+++ b/library/src/main/java/org/copperspindle/quarantine/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Requests that end the upstreams that run them: how they are told apart from those that only ran beside them, and what all
- * nodes know of them.
+ * Quarantine of requests that terminate the upstreams that run them: detection of terminations, distinction from
+ * requests that only ran on the same upstream, and exchange of suspicions between all nodes.
  */
 package org.copperspindle.quarantine;
--- a/library/src/test/java/org/copperspindle/quarantine/LinkedPeer.java
+++ b/library/src/test/java/org/copperspindle/quarantine/LinkedPeer.java
@@ -12,7 +12,8 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * One end of a connection between two nodes in virtual time. What is sent travels as bytes and arrives after a while.
+ * One end of a connection between two nodes in virtual time. Messages are transferred as bytes and arrive after a
+ * delay.
  */
 final class LinkedPeer implements Peer {
 
@@ -21,21 +22,21 @@
     private final GreetingMessage remote;
     private final MessageRegistry registry;
     private final TimerService timers;
-    private final BooleanSupplier passes;
-    private final Consumer<WireMessage> arrives;
-    private boolean lost;
+    private final BooleanSupplier isLinked;
+    private final Consumer<WireMessage> receiver;
+    private boolean dropped;
 
     LinkedPeer(
             GreetingMessage remote,
             MessageRegistry registry,
             TimerService timers,
-            BooleanSupplier passes,
-            Consumer<WireMessage> arrives) {
+            BooleanSupplier isLinked,
+            Consumer<WireMessage> receiver) {
         this.remote = remote;
         this.registry = registry;
         this.timers = timers;
-        this.passes = passes;
-        this.arrives = arrives;
+        this.isLinked = isLinked;
+        this.receiver = receiver;
     }
 
     @Override
@@ -57,20 +58,20 @@
 
     @Override
     public void close() {
-        // The test closes links by itself, at both ends.
+        // The test closes both ends of a link itself.
     }
 
-    /** Loses what is on its way, and all that is sent from now on. */
-    void lose() {
-        lost = true;
+    /** Drops messages that are under way, and all that are sent from now on. */
+    void drop() {
+        dropped = true;
     }
 
     private void arrive(byte[] bytes) {
-        if (lost || !passes.getAsBoolean()) {
+        if (dropped || !isLinked.getAsBoolean()) {
             return;
         }
         try {
-            arrives.accept(registry.decode(bytes).orElseThrow());
+            receiver.accept(registry.decode(bytes).orElseThrow());
         } catch (MalformedFrameException e) {
             throw new IllegalStateException(e);
         }
--- a/library/src/test/java/org/copperspindle/quarantine/QuarantineFleet.java
+++ b/library/src/test/java/org/copperspindle/quarantine/QuarantineFleet.java
@@ -33,7 +33,7 @@
 import org.copperspindle.wire.WireTransport;
 
 /**
- * Nodes with a quarantine each, in virtual time, before upstreams that end when the test says so.
+ * Nodes with one quarantine each, in virtual time, and upstreams that the test terminates.
  */
 final class QuarantineFleet implements AutoCloseable {
 
@@ -53,7 +53,7 @@
     private final Map<Set<Integer>, Boolean> links = new HashMap<>();
     private final Map<Integer, UpstreamRecord> upstreams = new HashMap<>();
     private final Set<String> silent = new HashSet<>();
-    private int ended;
+    private int terminated;
 
     QuarantineFleet(int count) {
         for (int i = 0; i < count; i++) {
@@ -61,13 +61,13 @@
         }
         for (int i = 0; i < count; i++) {
             for (int other = 0; other < i; other++) {
-                join(i, other);
+                heal(i, other);
             }
         }
-        settle();
+        awaitDelivery();
     }
 
-    /** Describes a request of one account by its body. */
+    /** Creates a request of one account from its body. */
     static TrackedRequest request(String body) {
         RequestDigest digest = RequestDigest.of("t", "POST", "h", "/r/x", body.getBytes(StandardCharsets.UTF_8));
         return new TrackedRequest("id-" + body, "r", "t", POOL, () -> digest);
@@ -80,20 +80,21 @@
         return number;
     }
 
-    /** Has every node hear what the upstream at a place says of itself. */
+    /** Announces the state of an upstream to every node. */
     void announce(int number, String id, UpstreamPhase phase) {
         announce(number, id, 0, phase);
     }
 
-    /** Has every node hear of one life of an upstream that tells when it began. */
+    /** Announces an incarnation of an upstream to every node. */
     void announce(int number, String id, long incarnation, UpstreamPhase phase) {
-        UpstreamRecord news = new UpstreamRecord(id, incarnation, POOL, address(number), "d", phase, 4, 1, 0, 0);
-        upstreams.put(number, news);
-        nodes.forEach(node -> node.directory.accept(news, time.nanoTime()));
+        UpstreamRecord upstreamState =
+                new UpstreamRecord(id, incarnation, POOL, address(number), "d", phase, 4, 1, 0, 0);
+        upstreams.put(number, upstreamState);
+        nodes.forEach(node -> node.directory.accept(upstreamState, time.nanoTime()));
     }
 
-    /** Lets the VM of an upstream fall silent: nobody is told whether anything listens there. */
-    void silence(int number) {
+    /** Makes the VM of an upstream unresponsive: listen checks time out. */
+    void makeSilent(int number) {
         silent.add(address(number));
     }
 
@@ -105,36 +106,39 @@
         return quarantine(node).startRun(request, upstreams.get(upstream), previous);
     }
 
-    /** Ends an upstream under runs; each is told with the node that has it. */
-    void end(int upstream, Map<UpstreamRun, Integer> runs) {
-        upstreams.computeIfPresent(upstream, (n, news) -> news.gone());
-        ended++;
-        breakOff(runs);
+    /** Terminates an upstream; each run is reported to the node that owns it. */
+    void terminate(int upstream, Map<UpstreamRun, Integer> runs) {
+        upstreams.computeIfPresent(upstream, (n, upstreamState) -> upstreamState.gone());
+        terminated++;
+        breakConnections(runs);
     }
 
-    /** Ends an upstream of which the connections of runs showed no sign of life. */
-    void endUnseen(int upstream, Map<UpstreamRun, Integer> runs) {
-        upstreams.computeIfPresent(upstream, (n, news) -> news.gone());
+    /** Terminates an upstream; the connections of the runs gave no proof that it was alive. */
+    void terminateUnnoticed(int upstream, Map<UpstreamRun, Integer> runs) {
+        upstreams.computeIfPresent(upstream, (n, upstreamState) -> upstreamState.gone());
         runs.forEach((run, node) -> quarantine(node).onConnectionFailure(run, false, () -> {}));
     }
 
-    /** Breaks the connections of runs; their upstream may live on. */
-    void breakOff(Map<UpstreamRun, Integer> runs) {
+    /** Breaks the connections of runs; their upstream may still be alive. */
+    void breakConnections(Map<UpstreamRun, Integer> runs) {
         runs.forEach((run, node) -> quarantine(node).onConnectionFailure(run, true, () -> {}));
     }
 
-    /** Sends a request to a new upstream, which ends under it, unless it is held off; returns whether it was sent. */
-    boolean endsOne(int node, TrackedRequest request) {
+    /**
+     * Sends a request to a new upstream, which terminates while running it, unless the request is quarantined;
+     * returns whether it was sent.
+     */
+    boolean terminatesUpstream(int node, TrackedRequest request) {
         if (quarantine(node).isQuarantined(request)) {
             return false;
         }
         int upstream = addUpstream();
-        end(upstream, Map.of(send(node, request, upstream), node));
-        settle();
+        terminate(upstream, Map.of(send(node, request, upstream), node));
+        awaitDelivery();
         return true;
     }
 
-    /** Has a request run to its end. */
+    /** Completes a request at a new upstream. */
     void serve(int node, TrackedRequest request) {
         quarantine(node).onSurvived(send(node, request, addUpstream()));
     }
@@ -143,68 +147,70 @@
         return nodes.get(node).quarantine;
     }
 
-    boolean isHeldAnywhere(TrackedRequest request) {
+    boolean isQuarantinedAnywhere(TrackedRequest request) {
         return nodes.stream().anyMatch(node -> node.quarantine.isQuarantined(request));
     }
 
-    boolean isHeldEverywhere(TrackedRequest request) {
+    boolean isQuarantinedEverywhere(TrackedRequest request) {
         return nodes.stream().allMatch(node -> node.quarantine.isQuarantined(request));
     }
 
-    int ended() {
-        return ended;
+    int terminated() {
+        return terminated;
     }
 
-    /** Cuts two nodes off from each other; both find out. */
-    void cut(int one, int other) {
+    /** Partitions two nodes from each other; both detect it. */
+    void partition(int one, int other) {
         links.put(Set.of(one, other), false);
-        nodes.get(one).lose(other);
-        nodes.get(other).lose(one);
+        nodes.get(one).drop(other);
+        nodes.get(other).drop(one);
         nodes.forEach(node -> node.mesh.announce());
-        settle();
+        awaitDelivery();
     }
 
-    /** Opens one more connection between two nodes, as when both dial each other at the same moment. */
+    /** Opens a second connection between two nodes, as when both dial each other at the same time. */
     void connectAgain(int one, int other) {
         nodes.get(one).connect(nodes.get(other));
         nodes.get(other).connect(nodes.get(one));
-        settle();
+        awaitDelivery();
     }
 
-    /** Resets the newer of two connections between nodes, with all that is on its way. */
+    /** Resets the newer of two connections between nodes and drops what is under way on it. */
     void resetNewest(int one, int other) {
-        nodes.get(one).loseNewest(other);
-        nodes.get(other).loseNewest(one);
-        settle();
+        nodes.get(one).dropNewest(other);
+        nodes.get(other).dropNewest(one);
+        awaitDelivery();
     }
 
-    /** Connects two nodes unless they are. */
-    void join(int one, int other) {
+    /** Connects two nodes unless they are connected. */
+    void heal(int one, int other) {
         if (links.getOrDefault(Set.of(one, other), false)) {
             return;
         }
         links.put(Set.of(one, other), true);
         nodes.get(one).connect(nodes.get(other));
         nodes.get(other).connect(nodes.get(one));
-        settle();
+        awaitDelivery();
         nodes.forEach(node -> node.mesh.announce());
-        settle();
+        awaitDelivery();
     }
 
-    /** Starts nodes anew, which remember nothing. */
+    /** Restarts nodes, which lose their state. */
     void restart(List<Integer> numbers) {
         for (int number : numbers) {
-            others(number).forEach(other -> cut(number, other));
+            others(number).forEach(other -> partition(number, other));
             nodes.get(number).close();
-            nodes.set(number, new Node(number, nodes.get(number).life + 1));
-            upstreams.values().forEach(news -> nodes.get(number).directory.accept(news, time.nanoTime()));
+            nodes.set(number, new Node(number, nodes.get(number).processIncarnation + 1));
+            upstreams
+                    .values()
+                    .forEach(upstreamState -> nodes.get(number).directory.accept(upstreamState, time.nanoTime()));
         }
         for (int number : numbers) {
-            others(number).forEach(other -> join(number, other));
+            others(number).forEach(other -> heal(number, other));
         }
     }
 
-    void settle() {
+    void awaitDelivery() {
         advance(SETTLED);
     }
 
@@ -231,7 +237,8 @@
 
     private void check(String address, Consumer<ListenState> result) {
         boolean listens = upstreams.values().stream()
-                .anyMatch(news -> news.address().equals(address) && news.phase() != UpstreamPhase.GONE);
+                .anyMatch(upstreamState ->
+                        upstreamState.address().equals(address) && upstreamState.phase() != UpstreamPhase.GONE);
         ListenState state = listens ? ListenState.LISTENS : ListenState.REFUSES;
         time.schedule(CHECK_TIME.toNanos(), () -> result.accept(silent.contains(address) ? ListenState.SILENT : state));
     }
@@ -239,7 +246,7 @@
     /** One node. */
     private final class Node {
         private final int number;
-        private final long life;
+        private final long processIncarnation;
         private final GreetingMessage greeting;
         private final WireTransport transport;
         private final NodeMesh mesh;
@@ -247,11 +254,12 @@
         private final RequestQuarantine quarantine;
         private final Map<Integer, Deque<LinkedPeer>> peers = new HashMap<>();
 
-        private Node(int number, long life) {
+        private Node(int number, long processIncarnation) {
             this.number = number;
-            this.life = life;
+            this.processIncarnation = processIncarnation;
             InetSocketAddress own = new InetSocketAddress("127.0.0.1", number + 1);
-            this.greeting = new GreetingMessage(GreetingMessage.PROTOCOL, "gateway", "127.0.0.1:" + (number + 1), life);
+            this.greeting = new GreetingMessage(
+                    GreetingMessage.PROTOCOL, "gateway", "127.0.0.1:" + (number + 1), processIncarnation);
             this.transport = new WireTransport(group, registry, greeting, MeshSettings.LIMITS);
             NodeHelloMessage hello = new NodeHelloMessage("127.0.0.1:9", "d", false, true, false, 0, "", 0, 1);
             this.mesh = new NodeMesh(
@@ -272,16 +280,16 @@
             mesh.onOpen(peer);
         }
 
-        private void lose(int other) {
-            Deque<LinkedPeer> open = peers.getOrDefault(other, new ArrayDeque<>());
-            while (!open.isEmpty()) {
-                loseNewest(other);
+        private void drop(int other) {
+            Deque<LinkedPeer> connections = peers.getOrDefault(other, new ArrayDeque<>());
+            while (!connections.isEmpty()) {
+                dropNewest(other);
             }
         }
 
-        private void loseNewest(int other) {
+        private void dropNewest(int other) {
             LinkedPeer peer = peers.get(other).removeLast();
-            peer.lose();
+            peer.drop();
             mesh.onClose(peer);
         }
 
--- a/library/src/test/java/org/copperspindle/quarantine/RequestDigestTest.java
+++ b/library/src/test/java/org/copperspindle/quarantine/RequestDigestTest.java
@@ -10,15 +10,15 @@
 
 class RequestDigestTest {
 
-    private static final RequestDigest ASKED = digest("a", "POST", "h", "/p/x?q=1", "body");
+    private static final RequestDigest EXPECTED = digest("a", "POST", "h", "/p/x?q=1", "body");
 
     @Test
     void sameRequestHasTheSameDigest() {
-        assertThat(digest("a", "POST", "h", "/p/x?q=1", "body")).isEqualTo(ASKED);
-        assertThat(ASKED.text()).matches("[0-9a-f]{32}");
+        assertThat(digest("a", "POST", "h", "/p/x?q=1", "body")).isEqualTo(EXPECTED);
+        assertThat(EXPECTED.text()).matches("[0-9a-f]{32}");
     }
 
-    /** The last two hold the same bytes in a row, but parted elsewhere. */
+    /** The last two contain the same byte sequence with other boundaries between the parts. */
     @ParameterizedTest
     @CsvSource({
         "b, POST, h, /p/x?q=1, body",
@@ -30,8 +30,8 @@
         "a, POST, h, /p/x?q=1b, ody",
         "a, POST, h/p, /x?q=1, body"
     })
-    void anyOtherRequestHasAnother(String account, String method, String host, String uri, String body) {
-        assertThat(digest(account, method, host, uri, body)).isNotEqualTo(ASKED);
+    void anyOtherRequestHasAnotherDigest(String account, String method, String host, String uri, String body) {
+        assertThat(digest(account, method, host, uri, body)).isNotEqualTo(EXPECTED);
     }
 
     private static RequestDigest digest(String account, String method, String host, String uri, String body) {
--- a/library/src/test/java/org/copperspindle/quarantine/RequestQuarantineTest.java
+++ b/library/src/test/java/org/copperspindle/quarantine/RequestQuarantineTest.java
@@ -18,13 +18,13 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Which requests are held off, and which never, while upstreams end for this and that reason.
+ * Which requests are quarantined, and which are not, when upstreams terminate for different reasons.
  */
 class RequestQuarantineTest {
 
     private static final int NODES = 5;
-    private static final int ENDS = 3;
-    private static final TrackedRequest GUILTY = QuarantineFleet.request("guilty");
+    private static final int MAX_TERMINATIONS = 3;
+    private static final TrackedRequest HARMFUL = QuarantineFleet.request("guilty");
     private static final TrackedRequest POPULAR = QuarantineFleet.request("popular");
 
     private final QuarantineFleet fleet = new QuarantineFleet(NODES);
@@ -35,416 +35,443 @@
     }
 
     /**
-     * A caller sends a request again and again, which ends each upstream that runs it. It comes to one node or to all in turn; after
-     * the third end no node sends it on.
+     * A caller repeatedly sends a request that terminates each upstream that runs it, to one node or to several in
+     * turn. After the third termination no node may forward it.
      */
     @ParameterizedTest
     @ValueSource(ints = {1, 2, NODES})
-    void heldOffEverywhereAfterThreeEnds(int nodes) {
+    void quarantinedEverywhereAfterThreeTerminations(int nodes) {
         for (int i = 0; i < 20; i++) {
-            assertThat(fleet.endsOne(i % nodes, GUILTY)).isEqualTo(i < ENDS);
+            assertThat(fleet.terminatesUpstream(i % nodes, HARMFUL)).isEqualTo(i < MAX_TERMINATIONS);
         }
-        assertThat(fleet.isHeldEverywhere(GUILTY)).isTrue();
-        assertThat(fleet.quarantine(NODES - 1).quarantined()).singleElement().satisfies(held -> {
-            assertThat(held.digest()).isEqualTo(GUILTY.digest().text());
-            assertThat(held.upstreams()).containsExactlyInAnyOrder("u0", "u1", "u2");
-            assertThat(held.account()).isEqualTo("t");
-            assertThat(held.remainingMillis()).isPositive();
+        assertThat(fleet.isQuarantinedEverywhere(HARMFUL)).isTrue();
+        assertThat(fleet.quarantine(NODES - 1).quarantined()).singleElement().satisfies(entry -> {
+            assertThat(entry.digest()).isEqualTo(HARMFUL.digest().text());
+            assertThat(entry.upstreams()).containsExactlyInAnyOrder("u0", "u1", "u2");
+            assertThat(entry.account()).isEqualTo("t");
+            assertThat(entry.remainingMillis()).isPositive();
         });
     }
 
     /**
-     * The first attempt of a caller may be repeated at another upstream at once, before it is known that the first one ended. Each
-     * end counts nevertheless, so that one caller's attempts end three upstreams and not six.
+     * The first attempt of a caller may be repeated at another upstream before the first one is known to have
+     * terminated. Each termination must count, so that the attempts of one caller terminate three upstreams and not
+     * six.
      */
     @Test
-    void repeatsInOneAttemptCountOneByOne() {
+    void repeatsInOneAttemptCountSeparately() {
         Optional<UpstreamRun> previous = Optional.empty();
-        for (int i = 0; i < ENDS; i++) {
+        for (int i = 0; i < MAX_TERMINATIONS; i++) {
             int upstream = fleet.addUpstream();
-            UpstreamRun run = fleet.send(0, GUILTY, upstream, previous);
-            fleet.settle();
-            fleet.end(upstream, Map.of(run, 0));
+            UpstreamRun run = fleet.send(0, HARMFUL, upstream, previous);
+            fleet.awaitDelivery();
+            fleet.terminate(upstream, Map.of(run, 0));
             previous = Optional.of(run);
         }
-        fleet.settle();
-        assertThat(fleet.isHeldEverywhere(GUILTY)).isTrue();
+        fleet.awaitDelivery();
+        assertThat(fleet.isQuarantinedEverywhere(HARMFUL)).isTrue();
     }
 
     /**
-     * Others ran beside the guilty request each time, and their connections ended with its own. Each is another request, and runs
-     * elsewhere; none is taken for the guilty one.
+     * Other requests run on the same upstreams as the harmful one and lose their connections together with it. Each
+     * is a different request and completes elsewhere; none may be quarantined.
      */
     @Test
-    void neighboursAreNotHeldOff() {
-        for (int i = 0; i < ENDS; i++) {
+    void requestsOnTheSameUpstreamAreNotQuarantined() {
+        for (int i = 0; i < MAX_TERMINATIONS; i++) {
             int upstream = fleet.addUpstream();
             Map<UpstreamRun, Integer> runs = new HashMap<>();
-            runs.put(fleet.send(i, GUILTY, upstream), i);
+            runs.put(fleet.send(i, HARMFUL, upstream), i);
             for (int neighbour = 0; neighbour < 30; neighbour++) {
                 int node = neighbour % NODES;
                 TrackedRequest request = QuarantineFleet.request("neighbour-" + i + '-' + neighbour);
                 runs.put(fleet.send(node, request, upstream), node);
                 fleet.serve(node, QuarantineFleet.request("served-" + i + '-' + neighbour));
             }
-            fleet.end(upstream, runs);
-            fleet.settle();
+            fleet.terminate(upstream, runs);
+            fleet.awaitDelivery();
         }
         assertThat(fleet.quarantine(0).quarantined())
                 .extracting(QuarantinedRequest::digest)
-                .containsExactly(GUILTY.digest().text());
+                .containsExactly(HARMFUL.digest().text());
     }
 
     /**
-     * A failure domain loses its upstreams while a popular request runs at all of them, sent by all nodes. It was at every upstream
-     * that ended, and is not to blame: none of these runs was sent in knowledge of another end.
+     * A failure domain loses its upstreams while a popular request, sent by all nodes, runs on all of them. It must
+     * not be quarantined: none of its runs started with knowledge of another termination.
      */
     @Test
-    void popularRequestIsServedOnWhenManyUpstreamsEndAtOnce() {
+    void popularRequestIsNotQuarantinedWhenManyUpstreamsTerminateAtOnce() {
         Map<Integer, Map<UpstreamRun, Integer>> runs = new HashMap<>();
         for (int i = 0; i < 12; i++) {
             int node = i % NODES;
             int upstream = fleet.addUpstream();
             runs.put(upstream, Map.of(fleet.send(node, POPULAR, upstream), node));
         }
-        runs.forEach(fleet::end);
-        fleet.settle();
-        assertThat(fleet.isHeldAnywhere(POPULAR)).isFalse();
+        runs.forEach(fleet::terminate);
+        fleet.awaitDelivery();
+        assertThat(fleet.isQuarantinedAnywhere(POPULAR)).isFalse();
     }
 
-    /** Upstreams are replaced one after the other without a word while a popular request runs; others outlive it in between. */
+    /** Upstreams are replaced one by one without notice while a popular request runs; others survive it in between. */
     @Test
-    void requestThatAnUpstreamOutlivesStartsAnewEverywhere() {
+    void requestThatAnUpstreamSurvivesIsClearedEverywhere() {
         for (int i = 0; i < 20; i++) {
-            assertThat(fleet.endsOne(i % NODES, POPULAR)).isTrue();
+            assertThat(fleet.terminatesUpstream(i % NODES, POPULAR)).isTrue();
             if (i % 2 == 1) {
                 fleet.serve((i + 2) % NODES, POPULAR);
-                fleet.settle();
+                fleet.awaitDelivery();
             }
         }
-        assertThat(fleet.isHeldAnywhere(POPULAR)).isFalse();
+        assertThat(fleet.isQuarantinedAnywhere(POPULAR)).isFalse();
     }
 
     /**
-     * A broken release ends with any request. A popular request ends as many upstreams as others do, and twice the evidence is asked
-     * for before it is held off; with the release mended in time, nothing is.
+     * A broken release crashes under any request. A popular request terminates as many upstreams as others do, so
+     * twice the evidence is required before it is quarantined; if the release is fixed in time, nothing is.
      */
     @Test
-    void whereEverythingEndsUpstreamsMoreEvidenceIsAskedFor() {
-        for (int i = 0; i < ENDS; i++) {
-            fleet.endsOne(0, QuarantineFleet.request("other-" + i));
+    void moreEvidenceIsRequiredWhenAnyRequestTerminatesUpstreams() {
+        for (int i = 0; i < MAX_TERMINATIONS; i++) {
+            fleet.terminatesUpstream(0, QuarantineFleet.request("other-" + i));
         }
-        for (int i = 0; i < 2 * ENDS - 1; i++) {
-            fleet.endsOne(0, QuarantineFleet.request("another-" + i));
-            assertThat(fleet.endsOne(0, POPULAR)).isTrue();
+        for (int i = 0; i < 2 * MAX_TERMINATIONS - 1; i++) {
+            fleet.terminatesUpstream(0, QuarantineFleet.request("another-" + i));
+            assertThat(fleet.terminatesUpstream(0, POPULAR)).isTrue();
         }
-        assertThat(fleet.isHeldAnywhere(POPULAR)).isFalse();
-        fleet.endsOne(0, POPULAR);
-        assertThat(fleet.isHeldEverywhere(POPULAR)).isTrue();
+        assertThat(fleet.isQuarantinedAnywhere(POPULAR)).isFalse();
+        fleet.terminatesUpstream(0, POPULAR);
+        assertThat(fleet.isQuarantinedEverywhere(POPULAR)).isTrue();
     }
 
     /**
-     * Two of three upstreams ended under a guilty request, and other nodes know. A popular request is still sent there, on connections
-     * that were kept from before, and loses them; it ran nowhere, and is not to blame. It was held off in half a second:
-     * event=request-held-off level=6 upstreams=[u1, u3], with upstream u1 counted twice.
+     * Two of three upstreams terminated under a harmful request, and the other nodes know it. A popular request is
+     * sent to them on kept-alive connections and loses those without having run, so it must not be suspected.
+     * Formerly it was quarantined within half a second: event=request-held-off level=6 upstreams=[u1, u3], with
+     * upstream u1 counted twice.
      */
     @Test
-    void requestsSentToUpstreamsThatHadEndedAreNotToBlame() {
+    void requestsSentToTerminatedUpstreamsAreNotSuspected() {
         int first = fleet.addUpstream();
         int second = fleet.addUpstream();
-        fleet.end(first, Map.of(fleet.send(0, GUILTY, first), 0));
-        fleet.settle();
-        fleet.end(second, Map.of(fleet.send(1, GUILTY, second), 1));
-        fleet.settle();
-        for (int i = 0; i < 2 * ENDS; i++) {
+        fleet.terminate(first, Map.of(fleet.send(0, HARMFUL, first), 0));
+        fleet.awaitDelivery();
+        fleet.terminate(second, Map.of(fleet.send(1, HARMFUL, second), 1));
+        fleet.awaitDelivery();
+        for (int i = 0; i < 2 * MAX_TERMINATIONS; i++) {
             int node = i % NODES;
             UpstreamRun run = fleet.send(node, POPULAR, i % 2 == 0 ? first : second);
-            fleet.breakOff(Map.of(run, node));
-            fleet.settle();
+            fleet.breakConnections(Map.of(run, node));
+            fleet.awaitDelivery();
         }
         assertThat(fleet.quarantine(0).trackedRequests()).isEqualTo(1);
     }
 
     /**
-     * A node that is cut off does not hear that upstreams have ended, and sends them a popular request on connections kept from before. It
-     * loses one after the other, without a byte, though the request ran nowhere. That may be the first end of a guilty request, but is
-     * never the next. It was held off there:
-     * event=attempt-failed reason=connect-failed took_ms=2, three times, event=request-held-off level=6 upstreams=[u1, u3, u2].
+     * An isolated node does not learn that upstreams have terminated, and sends them a popular request on kept-alive
+     * connections. It loses one after the other without receiving a byte, though the request never ran. Such a loss
+     * may start a suspicion but must never raise it. Formerly the request was quarantined there: event=attempt-failed
+     * reason=connect-failed took_ms=2, three times, then event=request-held-off level=6 upstreams=[u1, u3, u2].
      */
     @Test
-    void keptConnectionsRaiseNoSuspicionAnyFurther() {
-        for (int i = 0; i < 2 * ENDS; i++) {
+    void keptAliveConnectionsDoNotRaiseASuspicion() {
+        for (int i = 0; i < 2 * MAX_TERMINATIONS; i++) {
             int upstream = fleet.addUpstream();
             UpstreamRun run = fleet.send(0, POPULAR, upstream);
-            fleet.endUnseen(upstream, Map.of(run, 0));
-            fleet.settle();
+            fleet.terminateUnnoticed(upstream, Map.of(run, 0));
+            fleet.awaitDelivery();
         }
         assertThat(fleet.quarantine(0).isSuspected(POPULAR)).isTrue();
-        assertThat(fleet.isHeldAnywhere(POPULAR)).isFalse();
+        assertThat(fleet.isQuarantinedAnywhere(POPULAR)).isFalse();
     }
 
-    /** The same upstream ends under two runs of a popular request, of which one was sent in knowledge of an end before. It is one end. */
+    /**
+     * One upstream terminates under two runs of a popular request, one of which was sent with knowledge of an earlier
+     * termination. This is a single termination.
+     */
     @Test
     void oneUpstreamCountsOnceForARequest() {
-        fleet.endsOne(0, POPULAR);
+        fleet.terminatesUpstream(0, POPULAR);
         int upstream = fleet.addUpstream();
         UpstreamRun early = fleet.send(0, POPULAR, upstream);
-        fleet.end(upstream, Map.of(early, 0));
-        fleet.settle();
+        fleet.terminate(upstream, Map.of(early, 0));
+        fleet.awaitDelivery();
         UpstreamRun late = fleet.send(1, POPULAR, upstream);
-        fleet.settle();
-        fleet.breakOff(Map.of(late, 1));
-        fleet.settle();
-        assertThat(fleet.isHeldAnywhere(POPULAR)).isFalse();
+        fleet.awaitDelivery();
+        fleet.breakConnections(Map.of(late, 1));
+        fleet.awaitDelivery();
+        assertThat(fleet.isQuarantinedAnywhere(POPULAR)).isFalse();
     }
 
-    /** An upstream starts again under the id that it had, and ends once more under the same request: these are two ends. */
+    /** An upstream restarts under its id and terminates again under the same request: these are two terminations. */
     @Test
-    void laterLivesUnderOneIdCountOneByOne() {
-        for (int life = 1; life <= ENDS; life++) {
-            fleet.announce(0, "u", life, UpstreamPhase.READY);
-            fleet.end(0, Map.of(fleet.send(life, GUILTY, 0), life));
-            fleet.settle();
+    void incarnationsUnderOneIdCountSeparately() {
+        for (int incarnation = 1; incarnation <= MAX_TERMINATIONS; incarnation++) {
+            fleet.announce(0, "u", incarnation, UpstreamPhase.READY);
+            fleet.terminate(0, Map.of(fleet.send(incarnation, HARMFUL, 0), incarnation));
+            fleet.awaitDelivery();
         }
-        assertThat(fleet.isHeldEverywhere(GUILTY)).isTrue();
+        assertThat(fleet.isQuarantinedEverywhere(HARMFUL)).isTrue();
     }
 
-    /** The same, where upstreams start again under the id that they had: each of their lives ended. */
+    /**
+     * Upstreams restart under the same id and terminate under other requests: each incarnation counts as a
+     * termination of its own.
+     */
     @Test
-    void endsOfLaterLivesUnderOneIdAreOthersToo() {
+    void incarnationsUnderOneIdCountAsOtherTerminations() {
         fleet.serve(0, QuarantineFleet.request("served"));
         fleet.serve(0, QuarantineFleet.request("served-too"));
-        for (int life = 1; life <= 2 * ENDS; life++) {
-            fleet.announce(0, "u", life, UpstreamPhase.READY);
-            fleet.end(0, Map.of(fleet.send(0, QuarantineFleet.request("other-" + life), 0), 0));
-            fleet.settle();
+        for (int incarnation = 1; incarnation <= 2 * MAX_TERMINATIONS; incarnation++) {
+            fleet.announce(0, "u", incarnation, UpstreamPhase.READY);
+            fleet.terminate(0, Map.of(fleet.send(0, QuarantineFleet.request("other-" + incarnation), 0), 0));
+            fleet.awaitDelivery();
         }
-        for (int i = 0; i < ENDS; i++) {
-            assertThat(fleet.endsOne(0, POPULAR)).isTrue();
+        for (int i = 0; i < MAX_TERMINATIONS; i++) {
+            assertThat(fleet.terminatesUpstream(0, POPULAR)).isTrue();
         }
-        assertThat(fleet.isHeldAnywhere(POPULAR)).isFalse();
+        assertThat(fleet.isQuarantinedAnywhere(POPULAR)).isFalse();
     }
 
-    /** Two guilty requests at once, beside others that are served, are each held off after three ends. */
+    /**
+     * Two harmful requests at the same time, among others that are served, are each quarantined after three
+     * terminations.
+     */
     @Test
-    void twoGuiltyRequestsAtOnce() {
+    void twoHarmfulRequestsAtOnce() {
         TrackedRequest second = QuarantineFleet.request("second");
-        int ended = 0;
+        int terminated = 0;
         for (int i = 0; i < 20; i++) {
             for (int k = 0; k < 5; k++) {
                 fleet.serve(i % NODES, QuarantineFleet.request("served-" + i + k));
             }
-            ended += fleet.endsOne(i % NODES, i % 2 == 0 ? GUILTY : second) ? 1 : 0;
+            terminated += fleet.terminatesUpstream(i % NODES, i % 2 == 0 ? HARMFUL : second) ? 1 : 0;
         }
-        assertThat(ended).isEqualTo(2 * ENDS);
+        assertThat(terminated).isEqualTo(2 * MAX_TERMINATIONS);
     }
 
-    /** A connection is lost, but its upstream is there, drains, has left, or can't be asked: nobody is suspected. */
+    /**
+     * A connection is lost, but its upstream is alive, draining, gone or cannot be checked: no request is suspected.
+     */
     @ParameterizedTest
     @CsvSource({"READY, false", "READY, true", "DRAINING, false", "GONE, false"})
     void lostConnectionsAloneProveNothing(UpstreamPhase phase, boolean silent) {
-        for (int i = 0; i < 3 * ENDS; i++) {
+        for (int i = 0; i < 3 * MAX_TERMINATIONS; i++) {
             int upstream = fleet.addUpstream();
-            UpstreamRun run = fleet.send(0, GUILTY, upstream);
+            UpstreamRun run = fleet.send(0, HARMFUL, upstream);
             fleet.announce(upstream, "u" + upstream, phase);
             if (silent) {
-                fleet.silence(upstream);
+                fleet.makeSilent(upstream);
             }
-            fleet.breakOff(Map.of(run, 0));
+            fleet.breakConnections(Map.of(run, 0));
             fleet.advance(Duration.ofSeconds(12));
         }
         assertThat(fleet.quarantine(0).trackedRequests()).isZero();
     }
 
     /**
-     * An upstream is started again before this node looks: something listens at its address. Its next life, under a new id, shows
-     * that the former one ended.
+     * An upstream restarts before this node checks it, so its address accepts connections. The next incarnation,
+     * under a new id, proves that the former one terminated.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void nextLifeAtTheAddressShowsThatTheFormerOneEnded(boolean heardBefore) {
-        for (int i = 0; i < ENDS; i++) {
+    void nextIncarnationAtTheAddressProvesTermination(boolean announcedBefore) {
+        for (int i = 0; i < MAX_TERMINATIONS; i++) {
             int upstream = fleet.addUpstream();
-            UpstreamRun run = fleet.send(0, GUILTY, upstream);
-            if (heardBefore) {
+            UpstreamRun run = fleet.send(0, HARMFUL, upstream);
+            if (announcedBefore) {
                 fleet.announce(upstream, "next-" + i, UpstreamPhase.READY);
-                fleet.breakOff(Map.of(run, 0));
+                fleet.breakConnections(Map.of(run, 0));
             } else {
-                fleet.breakOff(Map.of(run, 0));
+                fleet.breakConnections(Map.of(run, 0));
                 fleet.advance(Duration.ofSeconds(4));
                 fleet.announce(upstream, "next-" + i, UpstreamPhase.READY);
             }
-            fleet.settle();
+            fleet.awaitDelivery();
         }
-        assertThat(fleet.isHeldEverywhere(GUILTY)).isTrue();
+        assertThat(fleet.isQuarantinedEverywhere(HARMFUL)).isTrue();
     }
 
     /**
-     * The third upstream ends under a request at a node that is cut off from another one. A node that both reach passes it on; if none
-     * does, the other node hears of it as soon as they are connected again.
+     * The third upstream terminates under a request at a node that is partitioned from another one. A node that
+     * reaches both forwards the suspicion; if there is none, the other node receives it once they are connected
+     * again.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void nodesThatAreCutOffHearOfIt(boolean reachedByOthers) {
-        fleet.endsOne(0, GUILTY);
-        fleet.endsOne(1, GUILTY);
+    void partitionedNodesReceiveTheSuspicion(boolean reachedByOthers) {
+        fleet.terminatesUpstream(0, HARMFUL);
+        fleet.terminatesUpstream(1, HARMFUL);
         for (int other = 1; other < (reachedByOthers ? 2 : NODES); other++) {
-            fleet.cut(0, other);
+            fleet.partition(0, other);
         }
-        fleet.endsOne(0, GUILTY);
-        assertThat(fleet.quarantine(1).isQuarantined(GUILTY)).isEqualTo(reachedByOthers);
+        fleet.terminatesUpstream(0, HARMFUL);
+        assertThat(fleet.quarantine(1).isQuarantined(HARMFUL)).isEqualTo(reachedByOthers);
         for (int other = 1; other < (reachedByOthers ? 2 : NODES); other++) {
-            fleet.join(0, other);
+            fleet.heal(0, other);
         }
-        assertThat(fleet.isHeldEverywhere(GUILTY)).isTrue();
+        assertThat(fleet.isQuarantinedEverywhere(HARMFUL)).isTrue();
     }
 
-    /** A node hears of a clearance only after a cut has healed; what it thought until then doesn't come back to the others. */
+    /**
+     * A node learns that a request was cleared only after a partition has healed; its old suspicion must not return
+     * to the other nodes.
+     */
     @Test
-    void oldSuspicionsDoNotReturnWithANodeThatWasCutOff() {
-        for (int i = 0; i < ENDS; i++) {
-            fleet.endsOne(0, POPULAR);
+    void oldSuspicionsDoNotReturnWithAPartitionedNode() {
+        for (int i = 0; i < MAX_TERMINATIONS; i++) {
+            fleet.terminatesUpstream(0, POPULAR);
         }
-        IntStream.range(1, NODES).forEach(other -> fleet.cut(0, other));
+        IntStream.range(1, NODES).forEach(other -> fleet.partition(0, other));
         assertThat(fleet.quarantine(1).lift(POPULAR.digest())).isTrue();
-        fleet.settle();
-        IntStream.range(1, NODES).forEach(other -> fleet.join(0, other));
-        assertThat(fleet.isHeldAnywhere(POPULAR)).isFalse();
+        fleet.awaitDelivery();
+        IntStream.range(1, NODES).forEach(other -> fleet.heal(0, other));
+        assertThat(fleet.isQuarantinedAnywhere(POPULAR)).isFalse();
     }
 
     @Test
-    void nodeThatHasJustStartedLearnsWhatOthersKnow() {
-        for (int i = 0; i < ENDS; i++) {
-            fleet.endsOne(i, GUILTY);
+    void startedNodeReceivesAllSuspicions() {
+        for (int i = 0; i < MAX_TERMINATIONS; i++) {
+            fleet.terminatesUpstream(i, HARMFUL);
         }
         fleet.restart(List.of(0));
-        assertThat(fleet.quarantine(0).isQuarantined(GUILTY)).isTrue();
+        assertThat(fleet.quarantine(0).isQuarantined(HARMFUL)).isTrue();
     }
 
-    /** All nodes are killed at once and remember nothing: three more upstreams end, as at first. */
+    /** All nodes are killed at the same time and lose their state: three more upstreams terminate, as at first. */
     @Test
-    void afterAStartOfAllNodesTheBoundHoldsAgain() {
-        for (int i = 0; i < ENDS; i++) {
-            fleet.endsOne(i, GUILTY);
+    void boundHoldsAgainAfterARestartOfAllNodes() {
+        for (int i = 0; i < MAX_TERMINATIONS; i++) {
+            fleet.terminatesUpstream(i, HARMFUL);
         }
         fleet.restart(IntStream.range(0, NODES).boxed().toList());
         for (int i = 0; i < 20; i++) {
-            fleet.endsOne(i % NODES, GUILTY);
+            fleet.terminatesUpstream(i % NODES, HARMFUL);
         }
-        assertThat(fleet.ended()).isEqualTo(2 * ENDS);
+        assertThat(fleet.terminated()).isEqualTo(2 * MAX_TERMINATIONS);
     }
 
     /**
-     * Two nodes dialled each other at the same moment and have two connections. The newer one is reset just as the third end is told
-     * on it; the nodes stay connected, so that nothing else would make one tell the other again.
+     * Two nodes dialled each other at the same time and have two connections. The newer one is reset just after the
+     * third termination was sent on it; the nodes stay connected, so only the loss of the connection can trigger a
+     * resend.
      */
     @Test
-    void whatIsLostWithOneOfTwoConnectionsIsToldAgain() {
-        fleet.endsOne(0, GUILTY);
-        fleet.endsOne(0, GUILTY);
+    void suspicionsLostWithOneOfTwoConnectionsAreResent() {
+        fleet.terminatesUpstream(0, HARMFUL);
+        fleet.terminatesUpstream(0, HARMFUL);
         fleet.connectAgain(0, 1);
         int upstream = fleet.addUpstream();
-        fleet.end(upstream, Map.of(fleet.send(0, GUILTY, upstream), 0));
+        fleet.terminate(upstream, Map.of(fleet.send(0, HARMFUL, upstream), 0));
         fleet.advance(Duration.ofMillis(2));
         fleet.resetNewest(0, 1);
-        assertThat(fleet.quarantine(1).isQuarantined(GUILTY)).isTrue();
+        assertThat(fleet.quarantine(1).isQuarantined(HARMFUL)).isTrue();
     }
 
     /**
-     * A hold ends after a minute, in case it was wrong. If the request ends one more upstream then, it is held off for twice as long, so
-     * that a guilty request that comes all day ends few.
+     * A quarantine ends after a minute, in case it was a mistake. If the request then terminates one more upstream,
+     * the next quarantine is twice as long, so that a harmful request sent all day terminates only a few.
      */
     @Test
-    void holdsEndAndDouble() {
-        for (int i = 0; i < ENDS; i++) {
-            fleet.endsOne(i, GUILTY);
+    void quarantinesExpireAndDouble() {
+        for (int i = 0; i < MAX_TERMINATIONS; i++) {
+            fleet.terminatesUpstream(i, HARMFUL);
         }
         for (int second = 0; second < Duration.ofHours(24).toSeconds(); second += 2) {
             fleet.advance(Duration.ofSeconds(2));
-            fleet.endsOne(second % NODES, GUILTY);
+            fleet.terminatesUpstream(second % NODES, HARMFUL);
         }
-        assertThat(fleet.ended()).isBetween(ENDS + 6, ENDS + 6 + 24);
+        assertThat(fleet.terminated()).isBetween(MAX_TERMINATIONS + 6, MAX_TERMINATIONS + 6 + 24);
     }
 
-    /** A request that is held off and then outlived, as after a mended release, starts anew. */
+    /**
+     * A request that was quarantined and is then survived by an upstream, for example after a fixed release, starts
+     * again at level zero.
+     */
     @Test
-    void heldRequestThatIsServedAfterItsHoldIsCleared() {
-        for (int i = 0; i < ENDS; i++) {
-            fleet.endsOne(i, POPULAR);
+    void requestServedAfterItsQuarantineIsCleared() {
+        for (int i = 0; i < MAX_TERMINATIONS; i++) {
+            fleet.terminatesUpstream(i, POPULAR);
         }
         fleet.advance(Duration.ofSeconds(61));
-        assertThat(fleet.isHeldAnywhere(POPULAR)).isFalse();
+        assertThat(fleet.isQuarantinedAnywhere(POPULAR)).isFalse();
         fleet.serve(2, POPULAR);
-        fleet.settle();
-        assertThat(fleet.endsOne(0, POPULAR)).isTrue();
-        assertThat(fleet.endsOne(1, POPULAR)).isTrue();
-        assertThat(fleet.isHeldAnywhere(POPULAR)).isFalse();
+        fleet.awaitDelivery();
+        assertThat(fleet.terminatesUpstream(0, POPULAR)).isTrue();
+        assertThat(fleet.terminatesUpstream(1, POPULAR)).isTrue();
+        assertThat(fleet.isQuarantinedAnywhere(POPULAR)).isFalse();
     }
 
-    /** Somebody has thousands of different requests run at upstreams that end, to push a request that is held off out of memory. */
+    /**
+     * Thousands of different requests run at upstreams that terminate, in order to evict a quarantined request from
+     * memory.
+     */
     @Test
-    void memoryIsBoundedAndKeepsWhatIsHeldOff() {
-        for (int i = 0; i < ENDS; i++) {
-            fleet.endsOne(0, GUILTY);
+    void memoryIsBoundedAndKeepsQuarantinedRequests() {
+        for (int i = 0; i < MAX_TERMINATIONS; i++) {
+            fleet.terminatesUpstream(0, HARMFUL);
         }
-        for (int end = 0; end < 50; end++) {
+        for (int terminate = 0; terminate < 50; terminate++) {
             int upstream = fleet.addUpstream();
             Map<UpstreamRun, Integer> runs = new HashMap<>();
             for (int i = 0; i < 100; i++) {
-                runs.put(fleet.send(0, QuarantineFleet.request(end + "-" + i), upstream), 0);
+                runs.put(fleet.send(0, QuarantineFleet.request(terminate + "-" + i), upstream), 0);
             }
-            fleet.end(upstream, runs);
-            fleet.settle();
+            fleet.terminate(upstream, runs);
+            fleet.awaitDelivery();
         }
         for (int node = 0; node < NODES; node++) {
             assertThat(fleet.quarantine(node).trackedRequests()).isLessThanOrEqualTo(SuspicionTable.MAX_REQUESTS);
         }
-        assertThat(fleet.isHeldEverywhere(GUILTY)).isTrue();
+        assertThat(fleet.isQuarantinedEverywhere(HARMFUL)).isTrue();
         fleet.advance(Duration.ofMinutes(15));
         assertThat(fleet.quarantine(0).trackedRequests()).isZero();
     }
 
-    /** A suspected request may go to another upstream only once it is known whether it ended this one; others need not wait. */
+    /**
+     * A suspected request may be resent to another upstream only once it is known whether it terminated this one;
+     * others need not wait.
+     */
     @Test
     void repeatOfASuspectedRequestWaitsForTheCheck() {
-        fleet.endsOne(0, GUILTY);
+        fleet.terminatesUpstream(0, HARMFUL);
         int upstream = fleet.addUpstream();
-        boolean[] told = new boolean[1];
-        UpstreamRun run = fleet.send(1, GUILTY, upstream);
-        fleet.quarantine(1).onConnectionFailure(run, true, () -> told[0] = true);
-        assertThat(told[0]).isFalse();
-        fleet.settle();
-        assertThat(told[0]).isTrue();
-        told[0] = false;
-        fleet.quarantine(1).onConnectionFailure(fleet.send(1, POPULAR, upstream), true, () -> told[0] = true);
-        assertThat(told[0]).isTrue();
+        boolean[] permitted = new boolean[1];
+        UpstreamRun run = fleet.send(1, HARMFUL, upstream);
+        fleet.quarantine(1).onConnectionFailure(run, true, () -> permitted[0] = true);
+        assertThat(permitted[0]).isFalse();
+        fleet.awaitDelivery();
+        assertThat(permitted[0]).isTrue();
+        permitted[0] = false;
+        fleet.quarantine(1).onConnectionFailure(fleet.send(1, POPULAR, upstream), true, () -> permitted[0] = true);
+        assertThat(permitted[0]).isTrue();
     }
 
     /**
-     * Two guilty requests, a popular one and thousands of others over a minute, at nodes that are cut off from each other and restarted,
-     * before upstreams that also end by themselves. No guilty request ends more than its bound, no other is held off once
-     * the popular one has been served again, and all nodes think the same in the end.
+     * Two harmful requests, a popular one and thousands of others over a minute, at nodes that are partitioned and
+     * restarted, with upstreams that also terminate by themselves. No harmful request exceeds its bound, no other
+     * request stays quarantined once the popular one has been served again, and all nodes agree in the end.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20})
     void boundsHoldUnderDisturbances(long seed) {
         Random random = new Random(seed);
-        List<TrackedRequest> guilty = List.of(GUILTY, QuarantineFleet.request("second"));
-        int[] ends = new int[guilty.size()];
+        List<TrackedRequest> harmful = List.of(HARMFUL, QuarantineFleet.request("second"));
+        int[] terminations = new int[harmful.size()];
         for (int step = 0; step < 600; step++) {
             fleet.advance(Duration.ofMillis(80));
             int node = random.nextInt(NODES);
             switch (random.nextInt(10)) {
-                case 0 -> fleet.cut(0, 1 + random.nextInt(NODES - 1));
-                case 1 -> IntStream.range(1, NODES).forEach(other -> fleet.join(0, other));
+                case 0 -> fleet.partition(0, 1 + random.nextInt(NODES - 1));
+                case 1 -> IntStream.range(1, NODES).forEach(other -> fleet.heal(0, other));
                 case 2 -> {
-                    int which = random.nextInt(guilty.size());
-                    ends[which] += fleet.endsOne(node, guilty.get(which)) ? 1 : 0;
+                    int which = random.nextInt(harmful.size());
+                    terminations[which] += fleet.terminatesUpstream(node, harmful.get(which)) ? 1 : 0;
                 }
                 case 3 -> {
                     int upstream = fleet.addUpstream();
                     TrackedRequest bystander = QuarantineFleet.request("bystander-" + step);
-                    fleet.end(
+                    fleet.terminate(
                             upstream,
                             Map.of(fleet.send(node, bystander, upstream), node, fleet.send(0, POPULAR, upstream), 0));
                 }
@@ -454,18 +481,18 @@
                 }
             }
         }
-        IntStream.range(1, NODES).forEach(other -> fleet.join(0, other));
+        IntStream.range(1, NODES).forEach(other -> fleet.heal(0, other));
         fleet.serve(0, POPULAR);
-        fleet.settle();
-        for (int which = 0; which < ends.length; which++) {
-            assertThat(ends[which]).as("ends of " + which).isLessThanOrEqualTo(2 * ENDS);
+        fleet.awaitDelivery();
+        for (int which = 0; which < terminations.length; which++) {
+            assertThat(terminations[which]).as("terminations of " + which).isLessThanOrEqualTo(2 * MAX_TERMINATIONS);
         }
         for (int node = 0; node < NODES; node++) {
             assertThat(fleet.quarantine(node).quarantined())
                     .extracting(QuarantinedRequest::digest)
-                    .as("held off at " + node)
+                    .as("quarantined at " + node)
                     .containsExactlyInAnyOrderElementsOf(
-                            guilty.stream().map(each -> each.digest().text()).toList());
+                            harmful.stream().map(each -> each.digest().text()).toList());
         }
     }
 }
--- a/library/src/test/java/org/copperspindle/quarantine/SuspicionTest.java
+++ b/library/src/test/java/org/copperspindle/quarantine/SuspicionTest.java
@@ -20,22 +20,22 @@
     private static final RequestDigest DIGEST = new RequestDigest("00ff");
 
     /**
-     * Nodes hear of the same ends in another order, twice, or through a third node. If they came to different levels, one would hold
-     * a request off that another sends on.
+     * Nodes may receive the same terminations in another order, repeatedly, or through a third node. If they came to
+     * different levels, one node would quarantine a request that another one sends on.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     void orderAndRepetitionDoNotMatter(long seed) {
         Random random = new Random(seed);
-        List<Suspicion> heard = new ArrayList<>();
+        List<Suspicion> received = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
-            heard.add(of(random.nextInt(2), random.nextInt(8), "u" + random.nextInt(4)));
+            received.add(of(random.nextInt(2), random.nextInt(8), "u" + random.nextInt(4)));
         }
-        Suspicion first = heard.stream().reduce(Suspicion::merge).orElseThrow();
+        Suspicion first = received.stream().reduce(Suspicion::merge).orElseThrow();
         for (int i = 0; i < 50; i++) {
-            heard.add(heard.get(random.nextInt(heard.size())));
-            Collections.shuffle(heard, random);
-            Suspicion other = heard.stream().reduce(Suspicion::merge).orElseThrow();
+            received.add(received.get(random.nextInt(received.size())));
+            Collections.shuffle(received, random);
+            Suspicion other = received.stream().reduce(Suspicion::merge).orElseThrow();
             assertThat(other.epoch()).isEqualTo(first.epoch());
             assertThat(other.level()).isEqualTo(first.level());
             assertThat(other.upstreams()).containsExactlyInAnyOrderElementsOf(first.upstreams());
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void travelsAsBytes() throws MalformedFrameException {
+    void isEncodedAndDecoded() throws MalformedFrameException {
         MessageRegistry registry = WireTransport.registry().register(SuspicionMessage.CODEC);
         SuspicionMessage message = new SuspicionMessage(List.of(
                 new Suspicion(DIGEST, 3, 4, List.of("a", "b"), "r", "t", 5),
@@ -51,18 +51,21 @@
         assertThat(registry.decode(registry.encode(message))).contains(message);
     }
 
-    /** Ends one after the other; the hold after the last one in seconds. */
+    /** Consecutive terminations; the quarantine after the last one in seconds. */
     @ParameterizedTest
     @CsvSource({"0, 0", "2, 0", "5, 0", "6, 60", "7, 60", "8, 120", "10, 240", "16, 1920", "18, 3600"})
-    void holdsGrowWithEachEnd(int level, long seconds) {
-        assertThat(HoldPolicy.holdNanos(level)).isEqualTo(seconds * 1_000_000_000L);
+    void quarantineGrowsWithEachTermination(int level, long seconds) {
+        assertThat(QuarantinePolicy.quarantineNanos(level)).isEqualTo(seconds * 1_000_000_000L);
     }
 
-    /** A node of another build tells a level that this one doesn't know; shifted by it, a hold would be anything. */
+    /**
+     * A node of another build may send a level that this one does not know; shifted by it, the quarantine time would
+     * be arbitrary.
+     */
     @ParameterizedTest
     @CsvSource({"-5, 0", "1000, 18"})
-    void levelsOfOtherBuildsAreBounded(int told, int kept) {
-        assertThat(of(0, told, "u").level()).isEqualTo(kept);
+    void levelsOfOtherBuildsAreBounded(int sent, int kept) {
+        assertThat(of(0, sent, "u").level()).isEqualTo(kept);
     }
 
     private static Suspicion of(long epoch, int level, String upstream) {
