--- a/library/src/main/java/org/copperspindle/mesh/IsolationDetector.java
+++ b/library/src/main/java/org/copperspindle/mesh/IsolationDetector.java
@@ -8,29 +8,29 @@
 import org.copperspindle.time.TimerService;
 
 /**
- * Tells a node that is cut off from the others from one that has lost some of them. Both see connections end; the one that
- * is cut off loses nearly all at once, and must not take over what the others go on with.
+ * Distinguishes an isolated node from one that has lost some other nodes. Both see connections end; an isolated node
+ * loses nearly all of them at once and must not take over work that the others continue.
  */
 public final class IsolationDetector implements MeshListener {
 
     /**
-     * A node that sees less than this part of the nodes of the last seconds is cut off. Six in ten may be killed at once,
-     * and the rest must go on.
+     * Minimum share of the recently connected nodes, including itself, that a node must see to count as connected. Up
+     * to six in ten nodes may be killed at once, and the rest must continue.
      */
-    private static final double LEAST_PART = 1.0 / 3;
+    private static final double MIN_VISIBLE_SHARE = 1.0 / 3;
 
-    /** Nodes that are gone for longer don't count: they are not coming back, or not soon. */
+    /** How long a lost node counts; after that it is not expected to return soon. */
     private static final long RECENT_NANOS = Duration.ofSeconds(8).toNanos();
 
     private final IntSupplier connected;
     private final TimerService timers;
-    private final Map<String, Long> lost = new HashMap<>();
+    private final Map<String, Long> lostAt = new HashMap<>();
 
     /**
-     * Creates a watch; to be subscribed to the mesh.
+     * Creates a detector. The caller subscribes it to the mesh.
      *
-     * @param connected how many other nodes are connected
-     * @param timers    time on the network thread
+     * @param connected supplies the number of other nodes that are connected
+     * @param timers    timers of the network thread
      */
     public IsolationDetector(IntSupplier connected, TimerService timers) {
         this.connected = connected;
@@ -38,24 +38,24 @@
     }
 
     /**
-     * Says whether this node is cut off.
+     * Returns whether this node is isolated.
      *
-     * @return false for a node that has never known others
+     * @return true if it is isolated; false for a node that has never known others
      */
     public boolean isIsolated() {
         long now = timers.nanoTime();
-        lost.values().removeIf(at -> now - at > RECENT_NANOS);
-        int seen = 1 + connected.getAsInt();
-        return seen < LEAST_PART * (seen + lost.size());
+        lostAt.values().removeIf(at -> now - at > RECENT_NANOS);
+        int visible = 1 + connected.getAsInt();
+        return visible < MIN_VISIBLE_SHARE * (visible + lostAt.size());
     }
 
     @Override
     public void onNodeUp(MeshNode node) {
-        lost.remove(node.address());
+        lostAt.remove(node.address());
     }
 
     @Override
     public void onNodeDown(MeshNode node) {
-        lost.put(node.address(), timers.nanoTime());
+        lostAt.put(node.address(), timers.nanoTime());
     }
 }
--- a/library/src/main/java/org/copperspindle/mesh/MeshListener.java
+++ b/library/src/main/java/org/copperspindle/mesh/MeshListener.java
@@ -3,42 +3,43 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * Hears of other nodes. Called on the network thread.
+ * Listener for events of the mesh. Called on the network thread.
  */
 public interface MeshListener {
 
     /**
-     * A node is connected and has said who it is.
+     * Called when a node is connected and has introduced itself.
      *
      * @param node the node
      */
     default void onNodeUp(MeshNode node) {}
 
     /**
-     * The last connection to a node ended.
+     * Called when the last connection to a node has ended.
      *
      * @param node the node
      */
     default void onNodeDown(MeshNode node) {}
 
     /**
-     * One of several connections to a node ended, with what was on its way; the node is still connected.
+     * Called when one of several connections to a node has ended and messages on it may be lost; the node is still
+     * connected.
      *
      * @param node the node
      */
     default void onConnectionLost(MeshNode node) {}
 
     /**
-     * A node said something new of itself.
+     * Called when a node has sent an updated hello.
      *
      * @param node the node
      */
     default void onHello(MeshNode node) {}
 
     /**
-     * A message arrived that is not the mesh's own.
+     * Called for a message that the mesh itself does not handle.
      *
-     * @param node    who sent it
+     * @param node    sender of the message
      * @param message the message
      */
     default void onMessage(MeshNode node, WireMessage message) {}
--- a/library/src/main/java/org/copperspindle/mesh/MeshNode.java
+++ b/library/src/main/java/org/copperspindle/mesh/MeshNode.java
@@ -9,7 +9,7 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * Another node as this one sees it.
+ * Another node of the mesh, with its connections and last known state.
  */
 public final class MeshNode {
 
@@ -18,14 +18,14 @@
     private long incarnation;
     private NodeHelloMessage hello;
     private List<String> neighbours = List.of();
-    private final Map<Class<?>, WireMessage> told = new HashMap<>();
+    private final Map<Class<?>, WireMessage> lastSent = new HashMap<>();
 
     MeshNode(String address) {
         this.address = address;
     }
 
     /**
-     * Returns where the node listens for other nodes; this is also its name.
+     * Returns the address at which the node listens for other nodes; it is also its name.
      *
      * @return IP:PORT
      */
@@ -34,16 +34,16 @@
     }
 
     /**
-     * Returns what the node said of itself last.
+     * Returns the last hello of the node.
      *
-     * @return its newest hello; null until the first came, which listeners never see
+     * @return its newest hello; null until the first one arrives, before which listeners are not notified
      */
     public NodeHelloMessage hello() {
         return hello;
     }
 
     /**
-     * Returns the nodes that the node is connected to, as it said last.
+     * Returns the nodes that this node last reported to be connected to.
      *
      * @return their addresses
      */
@@ -52,7 +52,7 @@
     }
 
     /**
-     * Returns which life of the node's process this is.
+     * Returns the incarnation of the node's process.
      *
      * @return larger for each restart
      */
@@ -67,7 +67,7 @@
      * @return false if no byte of it was sent
      */
     public boolean send(WireMessage message) {
-        // The newest connection first: an older one may lead nowhere and not have been found out yet.
+        // Tries the newest connection first: an older one may be broken without having been detected yet.
         for (int i = peers.size() - 1; i >= 0; i--) {
             if (peers.get(i).send(message)) {
                 return true;
@@ -92,34 +92,37 @@
         neighbours = newest;
     }
 
-    /** Sends a message unless it is the one of its kind that was sent last. */
-    void tell(WireMessage message) {
-        boolean isNews = !message.equals(told.get(message.getClass()));
-        if (isNews && send(message)) {
-            told.put(message.getClass(), message);
+    /** Sends a message unless it equals the last one of its type. */
+    void sendIfChanged(WireMessage message) {
+        boolean isChanged = !message.equals(lastSent.get(message.getClass()));
+        if (isChanged && send(message)) {
+            lastSent.put(message.getClass(), message);
         }
     }
 
-    /** Takes a connection; one of an older life is refused, those of older lives are closed. */
-    boolean open(Peer peer) {
-        long life = peer.greeting().incarnation();
-        if (life < incarnation) {
+    /**
+     * Adds a connection. Returns false for a connection of an older incarnation; connections of older incarnations
+     * are closed when a newer one appears.
+     */
+    boolean addPeer(Peer peer) {
+        long peerIncarnation = peer.greeting().incarnation();
+        if (peerIncarnation < incarnation) {
             return false;
         }
-        if (life > incarnation) {
-            incarnation = life;
-            List<Peer> older = List.copyOf(peers);
+        if (peerIncarnation > incarnation) {
+            incarnation = peerIncarnation;
+            List<Peer> outdated = List.copyOf(peers);
             peers.clear();
-            older.forEach(Peer::close);
+            outdated.forEach(Peer::close);
         }
         peers.add(peer);
-        told.clear();
+        lastSent.clear();
         return true;
     }
 
-    boolean closed(Peer peer) {
-        // What was sent on it last may not have arrived.
-        told.clear();
+    boolean removePeer(Peer peer) {
+        // The last messages on this connection may not have arrived, so they are sent again.
+        lastSent.clear();
         return peers.remove(peer);
     }
 }
--- a/library/src/main/java/org/copperspindle/mesh/MeshRelay.java
+++ b/library/src/main/java/org/copperspindle/mesh/MeshRelay.java
@@ -9,9 +9,10 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * Sends messages to nodes that this one does not reach through others that do. Members of the control group may be cut off
- * from each other while all other nodes reach them: without a way round, the two sides would choose different nodes for
- * work that only one may do at a time. A message goes through one other node at most.
+ * Sends messages to nodes without a direct connection through a node that is connected to both. Members of the
+ * control group may be partitioned from each other while all other nodes reach them; without a relay the two sides
+ * would choose different nodes for work that only one node may do at a time. A message passes through at most one
+ * other node.
  */
 public final class MeshRelay implements MeshListener {
 
@@ -22,10 +23,10 @@
     private MeshListener listener = new MeshListener() {};
 
     /**
-     * Creates the relay; to be subscribed to the mesh.
+     * Creates the relay. The caller subscribes it to the mesh.
      *
      * @param mesh     the nodes
-     * @param registry encodes what is sent
+     * @param registry encodes and decodes relayed messages
      */
     public MeshRelay(NodeMesh mesh, MessageRegistry registry) {
         this.mesh = mesh;
@@ -33,16 +34,16 @@
     }
 
     /**
-     * Sets who takes messages that came through another node.
+     * Sets the listener for relayed messages.
      *
-     * @param taker told of them as if they had come directly
+     * @param receiver called as if the messages had arrived directly
      */
-    public void listener(MeshListener taker) {
-        listener = taker;
+    public void listener(MeshListener receiver) {
+        listener = receiver;
     }
 
     /**
-     * Returns the nodes that are reached directly.
+     * Returns the mesh of directly connected nodes.
      *
      * @return the mesh
      */
@@ -51,30 +52,30 @@
     }
 
     /**
-     * Sends a message, by itself or through another node.
+     * Sends a message directly or through another node.
      *
-     * @param address name of the node that it is for
+     * @param address name of the receiving node
      * @param message the message
-     * @return false if there is no way
+     * @return false if no route to the node is known
      */
     public boolean send(String address, WireMessage message) {
         Optional<MeshNode> direct = mesh.find(address);
         if (direct.isPresent()) {
             return direct.get().send(message);
         }
-        return between(address)
+        return findRelay(address)
                 .map(node -> node.send(new RelayMessage(mesh.self(), address, registry.encode(message))))
                 .orElse(false);
     }
 
     /**
-     * Says whether a node is up, as this one or another sees it.
+     * Returns whether a node can be reached directly or through a connected node.
      *
      * @param address name of the node
-     * @return false if nobody who is connected here is connected with it
+     * @return false if neither this node nor any connected node is connected to it
      */
     public boolean canReach(String address) {
-        return mesh.find(address).isPresent() || between(address).isPresent();
+        return mesh.find(address).isPresent() || findRelay(address).isPresent();
     }
 
     @Override
@@ -94,7 +95,7 @@
         }
     }
 
-    private Optional<MeshNode> between(String address) {
+    private Optional<MeshNode> findRelay(String address) {
         return mesh.nodes().stream()
                 .filter(node -> node.neighbours().contains(address))
                 .findFirst();
--- a/library/src/main/java/org/copperspindle/mesh/MeshSettings.java
+++ b/library/src/main/java/org/copperspindle/mesh/MeshSettings.java
@@ -10,12 +10,13 @@
 /**
  * Settings of a node's connections to other nodes.
  *
- * @param listen        where this node listens; also its name
- * @param bind          where this node really listens, if others reach it through a forwarder; else the same
- * @param control       IP:PORT where operators and upstreams reach it
+ * @param listen        address at which other nodes reach this node; also its name
+ * @param bind          address at which this node actually listens; differs from {@code listen} if others reach it
+ *                      through a forwarder
+ * @param control       IP:PORT at which operators and upstreams reach it
  * @param failureDomain its failure domain
  * @param durable       true if it has a disk
- * @param seeds         addresses of a few nodes, which may include this one
+ * @param seeds         addresses of a few nodes; may include this node
  */
 public record MeshSettings(
         InetSocketAddress listen,
@@ -25,12 +26,13 @@
         boolean durable,
         List<InetSocketAddress> seeds) {
 
-    /** A node looks this often what others must be told of it, and whom it must dial. */
-    public static final Duration LOOK_INTERVAL = Duration.ofMillis(500);
+    /** How often a node sends pending updates and dials missing nodes. */
+    public static final Duration MAINTENANCE_INTERVAL = Duration.ofMillis(500);
 
     /**
-     * Bounds of connections between nodes. A peer silent for 1.6 s, three missed heartbeats, is taken for dead: work that
-     * was handed to it must move on while its callers' time lasts, and shorter bounds would drop nodes that lose packets.
+     * Limits of connections between nodes. A peer is considered dead after 1.6 s of silence, that is three missed
+     * heartbeats: work assigned to it must move to another node within its callers' remaining time, and a shorter
+     * limit would drop nodes on links with packet loss.
      */
     public static final WireLimits LIMITS = new WireLimits(
             WireTransport.MAX_FRAME_BYTES,
--- a/library/src/main/java/org/copperspindle/mesh/NodeHelloMessage.java
+++ b/library/src/main/java/org/copperspindle/mesh/NodeHelloMessage.java
@@ -6,17 +6,17 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * What a node says of itself, on each new connection and when it has changed.
+ * State of a node, sent on each new connection and whenever it changes.
  *
- * @param control       IP:PORT where operators and upstreams reach it
+ * @param control       IP:PORT at which operators and upstreams reach it
  * @param failureDomain its failure domain
- * @param durable       true if it has a disk and so may be a member of the control group
- * @param serving       true if it takes work for others; false while it starts or stops
- * @param grouped       true if it belongs to a control group already
- * @param term          term of the leader that it knows of, 0 if none
+ * @param durable       true if it has a disk and may therefore be a member of the control group
+ * @param serving       true if it accepts work for others; false while it starts or stops
+ * @param grouped       true if it already belongs to a control group
+ * @param term          term of the leader known to it, 0 if none
  * @param leader        node address of that leader, empty if none
  * @param version       version of the route table that it holds, 0 if none
- * @param fitness       how fit it is to pack calls for all nodes, higher for fitter
+ * @param fitness       suitability as dispatcher of batched calls for all nodes, higher is better
  */
 public record NodeHelloMessage(
         String control,
--- a/library/src/main/java/org/copperspindle/mesh/NodeListMessage.java
+++ b/library/src/main/java/org/copperspindle/mesh/NodeListMessage.java
@@ -8,8 +8,9 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * The nodes that a node is connected to, so that others find them. Told on a new connection and when it has changed: as a
- * part of each hello, all lists together would grow with the cube of the number of nodes.
+ * The nodes that a node is connected to, so that other nodes can discover them. Sent on a new connection and on
+ * changes. It is separate from the hello because the total size of all lists sent with every hello would grow with
+ * the cube of the number of nodes.
  *
  * @param nodes node addresses
  */
--- a/library/src/main/java/org/copperspindle/mesh/NodeMesh.java
+++ b/library/src/main/java/org/copperspindle/mesh/NodeMesh.java
@@ -22,27 +22,30 @@
 import org.copperspindle.wire.WireTransport;
 
 /**
- * Connects this node with all others. Every node tells whom it is connected to, so that a node that reaches one seed
- * finds the rest, also after the seeds it was started with are gone. Runs on the network thread.
+ * Connects this node to all other nodes. Every node reports the nodes that it is connected to, so a node that reaches
+ * one seed discovers the rest, even after its initial seeds are gone. Must be used on the network thread.
  */
 public final class NodeMesh implements PeerListener {
 
     private static final Logger LOGGER = LogManager.getLogger(NodeMesh.class);
 
-    /** An address that nobody answers at and nobody speaks of is dialled for so long; nanoseconds. */
+    /** How long an unreachable address that no connected node reports is still dialled, in nanoseconds. */
     private static final long FORGET_NANOS = 20_000_000_000L;
 
-    /** Connections with nodes that are lost together end within about so long of each other, and are told together; nanoseconds. */
-    private static final long TOGETHER_NANOS = 50_000_000L;
+    /**
+     * Delay before lost nodes are announced, in nanoseconds. Nodes that are lost together disconnect within about
+     * this time and are announced in one message.
+     */
+    private static final long LOSS_BATCH_NANOS = 50_000_000L;
 
     private final MeshSettings settings;
     private final WireTransport transport;
     private final TimerService timers;
     private final Supplier<NodeHelloMessage> hello;
     private final String self;
-    private final DeferredTask lossTold;
+    private final DeferredTask lossAnnouncement;
     private final Map<String, MeshNode> nodes = new LinkedHashMap<>();
-    private final Map<String, Long> wanted = new LinkedHashMap<>();
+    private final Map<String, Long> dialTargets = new LinkedHashMap<>();
     private final Set<String> dialling = new HashSet<>();
     private final List<MeshListener> listeners = new ArrayList<>();
     private Set<String> seeds = Set.of();
@@ -52,8 +55,8 @@
      *
      * @param settings  settings
      * @param transport transport whose greeting names this node by {@link MeshSettings#listen}
-     * @param timers    time on the network thread
-     * @param hello     what this node says of itself
+     * @param timers    timers of the network thread
+     * @param hello     supplies the current hello of this node
      */
     public NodeMesh(
             MeshSettings settings, WireTransport transport, TimerService timers, Supplier<NodeHelloMessage> hello) {
@@ -62,27 +65,27 @@
         this.timers = timers;
         this.hello = hello;
         this.self = NumericAddress.format(settings.listen());
-        this.lossTold = new DeferredTask(timers, this::announce);
+        this.lossAnnouncement = new DeferredTask(timers, this::announce);
         reseed(settings.seeds());
     }
 
     /**
-     * Adds a listener; before {@link #start}.
+     * Adds a listener. Must be called before {@link #start}.
      *
-     * @param listener hears of all nodes and messages
+     * @param listener receives events of all nodes and all messages
      */
     public void subscribe(MeshListener listener) {
         listeners.add(listener);
     }
 
-    /** Starts to listen and to connect. */
+    /** Starts listening and connecting. */
     public void start() {
         transport.listen(settings.bind(), this);
-        tick();
+        maintain();
     }
 
     /**
-     * Takes other seeds, after a change of settings.
+     * Replaces the seeds after a change of settings.
      *
      * @param addresses the new seeds
      */
@@ -105,7 +108,7 @@
     /**
      * Returns the other nodes that are connected.
      *
-     * @return in no order
+     * @return the nodes, in no particular order
      */
     public List<MeshNode> nodes() {
         return nodes.values().stream().filter(MeshNode::isUp).toList();
@@ -114,14 +117,14 @@
     /**
      * Counts the other nodes that are connected.
      *
-     * @return as many as {@link #nodes} lists
+     * @return the number of nodes that {@link #nodes} lists
      */
     public int count() {
         return (int) nodes.values().stream().filter(MeshNode::isUp).count();
     }
 
     /**
-     * Lists the other nodes that take requests of callers.
+     * Lists the other nodes that accept requests of callers.
      *
      * @return their addresses
      */
@@ -152,15 +155,15 @@
     }
 
     /**
-     * Tells all nodes at once what has changed of this one. Nodes hear nothing while nothing changes: that a node lives shows
-     * by heartbeats of its connections, which are a few bytes and stand back where other messages go.
+     * Sends changes of this node's state to all nodes immediately. Nothing is sent while nothing changes: liveness is
+     * shown by the heartbeats of the connections, which are a few bytes and are omitted when other messages are sent.
      */
     public void announce() {
         NodeHelloMessage own = hello.get();
         NodeListMessage list = neighbours();
         nodes().forEach(node -> {
-            node.tell(own);
-            node.tell(list);
+            node.sendIfChanged(own);
+            node.sendIfChanged(list);
         });
     }
 
@@ -168,12 +171,12 @@
     public boolean onOpen(Peer peer) {
         String address = peer.greeting().processId();
         MeshNode node = nodes.computeIfAbsent(address, MeshNode::new);
-        if (address.equals(self) || !node.open(peer)) {
+        if (address.equals(self) || !node.addPeer(peer)) {
             peer.close();
             return true;
         }
-        node.tell(hello.get());
-        node.tell(neighbours());
+        node.sendIfChanged(hello.get());
+        node.sendIfChanged(neighbours());
         return true;
     }
 
@@ -183,11 +186,11 @@
         if (node == null || peer.greeting().incarnation() != node.incarnation()) {
             return true;
         }
-        if (message instanceof NodeHelloMessage news) {
-            heard(node, news);
+        if (message instanceof NodeHelloMessage received) {
+            receiveHello(node, received);
         } else if (message instanceof NodeListMessage list) {
             node.neighbours(list.nodes());
-            list.nodes().forEach(this::want);
+            list.nodes().forEach(this::addDialTarget);
         } else if (node.isUp()) {
             listeners.forEach(listener -> listener.onMessage(node, message));
         }
@@ -197,7 +200,7 @@
     @Override
     public boolean onClose(Peer peer) {
         MeshNode node = nodes.get(peer.greeting().processId());
-        if (node == null || !node.closed(peer)) {
+        if (node == null || !node.removePeer(peer)) {
             return true;
         }
         if (node.isConnected()) {
@@ -207,29 +210,30 @@
             return true;
         }
         nodes.remove(node.address());
-        wanted.put(node.address(), timers.nanoTime());
+        dialTargets.put(node.address(), timers.nanoTime());
         if (node.hello() != null) {
-            // The others go on taking it for alive, and leave work with it, while any node names it.
-            lossTold.schedule(TOGETHER_NANOS);
+            // Other nodes consider the lost node alive, and leave work with it, for as long as any node reports a
+            // connection to it.
+            lossAnnouncement.schedule(LOSS_BATCH_NANOS);
             LOGGER.info("event=node-lost node={} incarnation={} nodes={}", node.address(), node.incarnation(), count());
             listeners.forEach(listener -> listener.onNodeDown(node));
         }
         return true;
     }
 
-    private void heard(MeshNode node, NodeHelloMessage news) {
-        boolean known = node.isUp();
-        node.hello(news);
-        wanted.remove(node.address());
-        dialLeader(news.leader());
-        if (!known) {
+    private void receiveHello(MeshNode node, NodeHelloMessage received) {
+        boolean wasUp = node.isUp();
+        node.hello(received);
+        dialTargets.remove(node.address());
+        dialLeader(received.leader());
+        if (!wasUp) {
             LOGGER.info(
                     "event=node-found node={} incarnation={} domain={} durable={} version={} nodes={}",
                     node.address(),
                     node.incarnation(),
-                    news.failureDomain(),
-                    news.durable(),
-                    news.version(),
+                    received.failureDomain(),
+                    received.durable(),
+                    received.version(),
                     count());
             listeners.forEach(listener -> listener.onNodeUp(node));
         }
@@ -237,41 +241,42 @@
     }
 
     /**
-     * Connects with the leader as soon as it is named. At the next look it would be one of all nodes that are dialled at once, and a node
-     * that has just started serves nobody before it has a lease from it.
+     * Connects to the leader as soon as it is known. Otherwise it would be dialled with all other nodes at the next
+     * maintenance interval, and a node that has just started serves no requests before it has a lease from the
+     * leader.
      */
     private void dialLeader(String leader) {
         boolean reached = leader.isEmpty() || leader.equals(self) || isConnected(leader);
         if (!reached && !dialling.contains(leader)) {
-            want(leader);
+            addDialTarget(leader);
             dial(leader);
         }
     }
 
-    private void want(String address) {
+    private void addDialTarget(String address) {
         if (!address.equals(self) && !nodes.containsKey(address)) {
-            wanted.putIfAbsent(address, timers.nanoTime());
+            dialTargets.putIfAbsent(address, timers.nanoTime());
         }
     }
 
-    private void tick() {
+    private void maintain() {
         announce();
         dialMissing();
-        timers.schedule(MeshSettings.LOOK_INTERVAL.toNanos(), this::tick);
+        timers.schedule(MeshSettings.MAINTENANCE_INTERVAL.toNanos(), this::maintain);
     }
 
     private void dialMissing() {
         long now = timers.nanoTime();
-        wanted.entrySet().removeIf(each -> now - each.getValue() > FORGET_NANOS && !isNamed(each.getKey()));
+        dialTargets.entrySet().removeIf(each -> now - each.getValue() > FORGET_NANOS && !isReported(each.getKey()));
         Set<String> missing = new HashSet<>(seeds);
-        missing.addAll(wanted.keySet());
+        missing.addAll(dialTargets.keySet());
         missing.removeAll(dialling);
         missing.removeIf(this::isConnected);
         missing.forEach(this::dial);
     }
 
-    /** Says whether a node that is connected here is connected with another one. */
-    private boolean isNamed(String address) {
+    /** Returns whether a connected node reports a connection to an address. */
+    private boolean isReported(String address) {
         return nodes().stream().anyMatch(node -> node.neighbours().contains(address));
     }
 
--- a/library/src/main/java/org/copperspindle/mesh/RelayMessage.java
+++ b/library/src/main/java/org/copperspindle/mesh/RelayMessage.java
@@ -6,11 +6,11 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * A message between two nodes that don't reach each other, on its way through one that reaches both.
+ * A message between two nodes without a direct connection, relayed by a node that is connected to both.
  *
- * @param from    name of the node that sent it
- * @param to      name of the node that it is for
- * @param payload the message, encoded
+ * @param from    name of the sending node
+ * @param to      name of the receiving node
+ * @param payload the encoded message
  */
 public record RelayMessage(String from, String to, byte[] payload) implements WireMessage {
 
--- a/library/src/main/java/org/copperspindle/mesh/package-info.java
+++ b/library/src/main/java/org/copperspindle/mesh/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The nodes of a deployment and the connections between them: found from a few seed addresses, each connected to each.
- * Soft state, owned by the network thread; what must survive belongs to {@code consensus}.
+ * The nodes of a deployment and the full mesh of connections between them, discovered from a few seed addresses. The
+ * state is soft and owned by the network thread; durable state belongs to {@code consensus}.
  */
 package org.copperspindle.mesh;
--- a/library/src/test/java/org/copperspindle/mesh/FakePeer.java
+++ b/library/src/test/java/org/copperspindle/mesh/FakePeer.java
@@ -8,14 +8,14 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * A connection to a node that keeps what is sent on it.
+ * A connection to a node that records the messages sent on it.
  */
 public final class FakePeer implements Peer {
 
     private final GreetingMessage greeting;
     private final List<WireMessage> sent = new ArrayList<>();
 
-    // Makes a connection to the node of that name.
+    // Creates a connection to the node of that name.
     public FakePeer(String name) {
         this.greeting = new GreetingMessage(GreetingMessage.PROTOCOL, "gateway", name, 1);
     }
--- a/library/src/test/java/org/copperspindle/mesh/IsolationDetectorTest.java
+++ b/library/src/test/java/org/copperspindle/mesh/IsolationDetectorTest.java
@@ -13,11 +13,11 @@
 
     private final VirtualTimerService time = new VirtualTimerService();
     private int connected;
-    private final IsolationDetector watch = new IsolationDetector(() -> connected, time);
+    private final IsolationDetector detector = new IsolationDetector(() -> connected, time);
 
     /**
-     * A node loses connections to others at once. Where nearly all are gone, it is the one that is cut off: it refuses work
-     * that the others go on with. Where many have died, the rest go on.
+     * A node loses connections to several others at once. If nearly all are gone, it is isolated and must refuse work
+     * that the others continue. If many nodes have died, the rest must continue.
      */
     @ParameterizedTest
     @CsvSource({
@@ -30,30 +30,30 @@
         "24, 14, false",
         "24, 20, true"
     })
-    void nodeThatLosesNearlyAllIsCutOff(int nodes, int lost, boolean cutOff) {
+    void nodeThatLosesNearlyAllIsIsolated(int nodes, int lost, boolean isolated) {
         connected = nodes - 1;
         for (int i = 0; i < lost; i++) {
             connected--;
-            watch.onNodeDown(new MeshNode("n" + i));
+            detector.onNodeDown(new MeshNode("n" + i));
         }
-        assertThat(watch.isIsolated()).isEqualTo(cutOff);
+        assertThat(detector.isIsolated()).isEqualTo(isolated);
     }
 
-    /** The others come back, or stay away for long: either way the node serves again. */
+    /** The node serves again once other nodes reconnect, or once the lost ones no longer count. */
     @Test
-    void cutEndsWithTheOthersOrWithTime() {
+    void isolationEndsWithReconnectionOrWithTime() {
         connected = 0;
-        watch.onNodeDown(new MeshNode("a"));
-        watch.onNodeDown(new MeshNode("b"));
-        watch.onNodeDown(new MeshNode("c"));
-        assertThat(watch.isIsolated()).isTrue();
+        detector.onNodeDown(new MeshNode("a"));
+        detector.onNodeDown(new MeshNode("b"));
+        detector.onNodeDown(new MeshNode("c"));
+        assertThat(detector.isIsolated()).isTrue();
         connected = 1;
-        watch.onNodeUp(new MeshNode("a"));
-        assertThat(watch.isIsolated()).isFalse();
+        detector.onNodeUp(new MeshNode("a"));
+        assertThat(detector.isIsolated()).isFalse();
         connected = 0;
-        watch.onNodeDown(new MeshNode("a"));
-        assertThat(watch.isIsolated()).isTrue();
+        detector.onNodeDown(new MeshNode("a"));
+        assertThat(detector.isIsolated()).isTrue();
         time.advance(9 * SECOND);
-        assertThat(watch.isIsolated()).isFalse();
+        assertThat(detector.isIsolated()).isFalse();
     }
 }
--- a/library/src/test/java/org/copperspindle/mesh/MeshRelayTest.java
+++ b/library/src/test/java/org/copperspindle/mesh/MeshRelayTest.java
@@ -17,14 +17,14 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Three nodes, of which two don't reach each other while the third one reaches both, as members of the control group do
- * when it is split. What one sends must come to the other once, under the sender's name; where nobody reaches the other,
- * the sender must be told, so that it does the work elsewhere.
+ * Three nodes, two of which are only connected through the third one, as in a partitioned control group. A relayed
+ * message must arrive once and under the name of its sender; if there is no route, the sender must be told so that it
+ * does the work elsewhere.
  */
 class MeshRelayTest {
 
     private static final String SELF = "127.0.0.1:1";
-    private static final String BETWEEN = "127.0.0.1:2";
+    private static final String RELAY = "127.0.0.1:2";
     private static final String FAR = "127.0.0.1:3";
 
     private final MessageRegistry registry =
@@ -39,14 +39,14 @@
             MeshRelayTest::hello);
     private final MeshRelay relay = new MeshRelay(mesh, registry);
     private final Map<String, FakePeer> peers = new HashMap<>();
-    private final List<String> heard = new ArrayList<>();
+    private final List<String> received = new ArrayList<>();
 
     MeshRelayTest() {
         mesh.subscribe(relay);
         relay.listener(new MeshListener() {
             @Override
             public void onMessage(MeshNode node, WireMessage message) {
-                heard.add(node.address() + ' ' + ((NodeHelloMessage) message).control());
+                received.add(node.address() + ' ' + ((NodeHelloMessage) message).control());
             }
         });
     }
@@ -57,45 +57,45 @@
     }
 
     @Test
-    void sendsThroughANodeThatReachesBoth() {
-        connect(BETWEEN, List.of(FAR));
+    void sendsThroughANodeConnectedToBoth() {
+        connect(RELAY, List.of(FAR));
         assertThat(relay.canReach(FAR)).isTrue();
         assertThat(relay.send(FAR, hello())).isTrue();
-        assertThat(peers.get(BETWEEN).sent(RelayMessage.class))
+        assertThat(peers.get(RELAY).sent(RelayMessage.class))
                 .singleElement()
                 .satisfies(m -> assertThat(List.of(m.from(), m.to())).containsExactly(SELF, FAR));
     }
 
     @Test
-    void sendsByItselfWhereItCan() {
-        connect(BETWEEN, List.of(FAR));
+    void sendsDirectlyIfConnected() {
+        connect(RELAY, List.of(FAR));
         connect(FAR, List.of());
         assertThat(relay.send(FAR, hello())).isTrue();
-        assertThat(peers.get(BETWEEN).sent(RelayMessage.class)).isEmpty();
+        assertThat(peers.get(RELAY).sent(RelayMessage.class)).isEmpty();
     }
 
     @Test
-    void saysThatThereIsNoWay() {
-        connect(BETWEEN, List.of());
+    void reportsThatThereIsNoRoute() {
+        connect(RELAY, List.of());
         assertThat(relay.canReach(FAR)).isFalse();
         assertThat(relay.send(FAR, hello())).isFalse();
     }
 
     @Test
-    void passesOnWhatIsForAnother() {
-        connect(BETWEEN, List.of());
+    void forwardsMessagesForOtherNodes() {
+        connect(RELAY, List.of());
         connect(FAR, List.of());
-        mesh.onMessage(peers.get(BETWEEN), new RelayMessage(BETWEEN, FAR, registry.encode(hello())));
+        mesh.onMessage(peers.get(RELAY), new RelayMessage(RELAY, FAR, registry.encode(hello())));
         assertThat(peers.get(FAR).sent(RelayMessage.class)).hasSize(1);
-        assertThat(heard).isEmpty();
+        assertThat(received).isEmpty();
     }
 
     @Test
-    void takesWhatIsForItUnderTheNameOfItsSender() {
-        connect(BETWEEN, List.of(FAR));
-        mesh.onMessage(peers.get(BETWEEN), new RelayMessage(FAR, SELF, registry.encode(hello())));
-        mesh.onMessage(peers.get(BETWEEN), new RelayMessage(FAR, SELF, new byte[] {1, 2, 3}));
-        assertThat(heard).containsExactly(FAR + " 127.0.0.1:9");
+    void deliversRelayedMessagesUnderTheSendersName() {
+        connect(RELAY, List.of(FAR));
+        mesh.onMessage(peers.get(RELAY), new RelayMessage(FAR, SELF, registry.encode(hello())));
+        mesh.onMessage(peers.get(RELAY), new RelayMessage(FAR, SELF, new byte[] {1, 2, 3}));
+        assertThat(received).containsExactly(FAR + " 127.0.0.1:9");
     }
 
     private void connect(String name, List<String> connectedWith) {
--- a/library/src/test/java/org/copperspindle/mesh/NodeMeshTest.java
+++ b/library/src/test/java/org/copperspindle/mesh/NodeMeshTest.java
@@ -26,14 +26,14 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * What a node sends to others while nothing changes, and how it finds those it is not connected to.
+ * What a node sends while nothing changes, and how it finds nodes that it is not connected to.
  */
 class NodeMeshTest {
 
     private static final int ACCEPT_MILLIS = 20;
 
-    /** Generous: the wait ends as soon as the node is dialled. */
-    private static final int MOST_LOOKS = 1000;
+    /** Upper bound of attempts; the wait ends as soon as the node is dialled. */
+    private static final int MAX_ATTEMPTS = 1000;
 
     private final LoopbackHost host = LoopbackHost.open();
     private final VirtualTimerService time = new VirtualTimerService();
@@ -61,9 +61,9 @@
     }
 
     /**
-     * A fleet at rest. Each node used to tell each other one twice a second all about itself and whom it is connected to, so
-     * that the bytes at a node grew with the square of the fleet's size. Nothing goes out while nothing changes, however many
-     * nodes there are.
+     * An idle fleet. Formerly each node sent its state and node list to every other node twice a second, so that the
+     * traffic per node grew with the square of the fleet size. Nothing may be sent while nothing changes, whatever
+     * the number of nodes.
      */
     @ParameterizedTest
     @ValueSource(ints = {4, 8, 64})
@@ -77,16 +77,22 @@
         assertThat(peers.get(0).sent(NodeHelloMessage.class)).containsExactly(hello(0));
     }
 
-    /** A node comes to hold a new version; others, which choose by that whom they send it to, hear of it within half a second. */
+    /**
+     * A node receives a new version; other nodes, which decide by it whom they send the version to, must learn this
+     * within half a second.
+     */
     @Test
-    void changeIsToldAtTheNextLook() {
+    void changeIsSentAtTheNextMaintenance() {
         FakePeer peer = connect(1);
         version = 7;
-        time.advance(MeshSettings.LOOK_INTERVAL.toNanos());
+        time.advance(MeshSettings.MAINTENANCE_INTERVAL.toNanos());
         assertThat(peer.sent(NodeHelloMessage.class)).containsExactly(hello(0), hello(7));
     }
 
-    /** A connection ends and a new one takes its place: what was sent on the old one may be lost, so the list goes out again. */
+    /**
+     * A connection is replaced by a new one: messages on the old one may be lost, so the node list must be sent
+     * again.
+     */
     @Test
     void listIsSentAgainOnANewConnection() {
         FakePeer first = connect(1);
@@ -100,47 +106,50 @@
     }
 
     /**
-     * A node dies that packs the calls of a pool. Others leave their groups with it while any node names it as connected, half a second
-     * longer than they have known it to be gone themselves.
+     * The dispatcher of a pool dies. Other nodes leave their groups with it for as long as any node reports it as
+     * connected, so its loss must be announced within a moment and not only at the next maintenance interval, half a
+     * second later.
      */
     @Test
-    void lostNodeIsToldWithinAMoment() {
+    void lossOfANodeIsAnnouncedQuickly() {
         FakePeer witness = connect(1);
         FakePeer lost = connect(2);
         time.advance(Duration.ofSeconds(1).toNanos());
         mesh.onClose(lost);
         time.advance(Duration.ofMillis(60).toNanos());
-        List<NodeListMessage> told = lists(witness);
-        assertThat(told.get(told.size() - 1).nodes()).containsExactly(name(1));
+        List<NodeListMessage> announced = lists(witness);
+        assertThat(announced.get(announced.size() - 1).nodes()).containsExactly(name(1));
     }
 
     /**
-     * A node is down for half a minute, and a neighbour goes on naming it, since it still has its connection. Lists are told
-     * once: forgotten after twenty seconds, the node would not be found again when it answers.
+     * A node is down for half a minute, and a neighbour that still has its connection keeps reporting it. Node lists
+     * are sent only once: if the address were dropped after twenty seconds, the node would not be found again when it
+     * is back.
      */
     @Test
-    void nodeIsDialledForAsLongAsOthersNameIt() throws IOException {
-        InetSocketAddress named = host.nextAddress();
+    void nodeIsDialledWhileOthersReportIt() throws IOException {
+        InetSocketAddress reported = host.nextAddress();
         FakePeer peer = connect(1);
-        mesh.onMessage(peer, new NodeListMessage(List.of(NumericAddress.format(named))));
+        mesh.onMessage(peer, new NodeListMessage(List.of(NumericAddress.format(reported))));
         advance(Duration.ofSeconds(30));
-        try (ServerSocket back = new ServerSocket(named.getPort(), 5, named.getAddress())) {
-            back.setSoTimeout(ACCEPT_MILLIS);
+        try (ServerSocket restarted = new ServerSocket(reported.getPort(), 5, reported.getAddress())) {
+            restarted.setSoTimeout(ACCEPT_MILLIS);
             boolean found = false;
-            for (int look = 0; look < MOST_LOOKS && !found; look++) {
-                advance(MeshSettings.LOOK_INTERVAL);
-                found = isDialled(back);
+            for (int attempt = 0; attempt < MAX_ATTEMPTS && !found; attempt++) {
+                advance(MeshSettings.MAINTENANCE_INTERVAL);
+                found = isDialled(restarted);
             }
             assertThat(found).isTrue();
         }
     }
 
     /**
-     * A node that has just started hears of the leader from its seeds. It has no lease before it reaches the leader; dialled with all others
-     * at the next look, half a second after the start of all nodes passed without an answer to any caller.
+     * A started node learns of the leader from its seeds and has no lease before it reaches the leader. When the
+     * leader was dialled with all other nodes at the next maintenance interval, no caller was answered for half a
+     * second after a start of all nodes.
      */
     @Test
-    void leaderIsDialledWhenItIsNamed() throws IOException {
+    void leaderIsDialledImmediately() throws IOException {
         InetSocketAddress leader = host.nextAddress();
         try (ServerSocket listening = new ServerSocket(leader.getPort(), 5, leader.getAddress())) {
             listening.setSoTimeout(ACCEPT_MILLIS);
@@ -148,14 +157,14 @@
             String name = NumericAddress.format(leader);
             mesh.onMessage(seed, new NodeHelloMessage("127.0.0.1:9", "d", true, true, true, 3, name, 1, 1));
             boolean found = false;
-            for (int look = 0; look < MOST_LOOKS && !found; look++) {
+            for (int attempt = 0; attempt < MAX_ATTEMPTS && !found; attempt++) {
                 found = isDialled(listening);
             }
             assertThat(found).isTrue();
         }
     }
 
-    /** Lets time pass on the network thread, as in a node: connections that fail are noted there. */
+    /** Advances the time on the network thread, as in a node: failed connections are recorded there. */
     private void advance(Duration duration) {
         loop.submit(() -> time.advance(duration.toNanos())).syncUninterruptibly();
     }
@@ -164,7 +173,7 @@
         try (Socket caller = listening.accept()) {
             return caller.isConnected();
         } catch (SocketTimeoutException e) {
-            // Not yet; the test looks again.
+            // Not yet; the test tries again.
             return false;
         }
     }
