--- a/library/src/main/java/org/copperspindle/version/EvacuationCommand.java
+++ b/library/src/main/java/org/copperspindle/version/EvacuationCommand.java
@@ -6,10 +6,10 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * An operator's order on one failure domain, as the log records it.
+ * An operator's evacuation order for one failure domain, as recorded in the log.
  *
  * @param failureDomain name of the failure domain
- * @param begins        true to send nothing more to its upstreams, false to use them again
+ * @param begins        true to stop sending to its upstreams, false to use them again
  */
 public record EvacuationCommand(String failureDomain, boolean begins) implements WireMessage {
 
--- a/library/src/main/java/org/copperspindle/version/EvacuationsMessage.java
+++ b/library/src/main/java/org/copperspindle/version/EvacuationsMessage.java
@@ -10,10 +10,10 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * All failure domains that are evacuated: part of the group's state, and what nodes send each other.
+ * The evacuated failure domains. Part of the replicated state, and sent between nodes.
  *
- * @param revision       index in the log of the order that made the list, so that a later list has a higher one; 0 before the
- *                       first order
+ * @param revision       log index of the order that produced the list, so that a later list has a higher revision; 0
+ *                       before the first order
  * @param failureDomains their names, sorted
  */
 public record EvacuationsMessage(long revision, List<String> failureDomains) implements WireMessage {
@@ -22,11 +22,11 @@
     public static final MessageCodec<EvacuationsMessage> CODEC =
             MessageCodec.of(214, EvacuationsMessage.class, EvacuationsMessage::write, EvacuationsMessage::read);
 
-    /** No order was given yet. */
+    /** State before the first order. */
     public static final EvacuationsMessage NONE = new EvacuationsMessage(0, List.of());
 
-    /** Failure domains that may be evacuated at once: a multiple of those of any deployment. */
-    static final int MOST = 256;
+    /** Maximum number of evacuated failure domains; far above the number in any deployment. */
+    static final int MAX_FAILURE_DOMAINS = 256;
 
     /** Copies and sorts the list. */
     public EvacuationsMessage {
@@ -34,21 +34,21 @@
     }
 
     /**
-     * Says whether a failure domain is evacuated.
+     * Returns whether a failure domain is evacuated.
      *
      * @param failureDomain its name
-     * @return true if its upstreams get nothing
+     * @return true if its upstreams receive no work
      */
     public boolean contains(String failureDomain) {
         return failureDomains.contains(failureDomain);
     }
 
-    /** Says whether no further failure domain can be evacuated, and an order asks for that. */
+    /** Returns whether an order would evacuate one more failure domain than allowed. */
     boolean isFullFor(EvacuationCommand order) {
-        return order.begins() && !contains(order.failureDomain()) && failureDomains.size() >= MOST;
+        return order.begins() && !contains(order.failureDomain()) && failureDomains.size() >= MAX_FAILURE_DOMAINS;
     }
 
-    /** Returns the list after an order, with the index of the order in the log; the same list if the order changes nothing. */
+    /** Returns the list after an order with the given log index; the same list if the order changes nothing. */
     EvacuationsMessage after(EvacuationCommand order, long index) {
         if (contains(order.failureDomain()) == order.begins()) {
             return this;
--- a/library/src/main/java/org/copperspindle/version/MemberSupervisor.java
+++ b/library/src/main/java/org/copperspindle/version/MemberSupervisor.java
@@ -11,17 +11,18 @@
 import org.copperspindle.time.TimerService;
 
 /**
- * Keeps this node's member of the control group at work. A member stops when its disk fails, for it must not promise what
- * it can't keep; but a disk that was full for a few seconds works again, and a member that stayed away would leave the
- * group one loss short of its quorum. So it is opened again until that succeeds, from what its disk holds. What the disk
- * has damaged is dropped, and the member joins as a new one. Runs on the decision ring.
+ * Keeps this node's member of the control group running. A member stops when its disk fails, because it must not
+ * acknowledge what it cannot store. A disk that was full for a few seconds recovers, however, and a member that
+ * stayed stopped would leave the group one failure closer to losing its quorum. The supervisor therefore reopens the
+ * member from its disk until that succeeds. Damaged records are dropped, and the member joins as a new one. Runs on
+ * the decision ring.
  */
 public final class MemberSupervisor implements AutoCloseable {
 
     private static final Logger LOGGER = LogManager.getLogger(MemberSupervisor.class);
 
-    /** A stopped member is noticed and opened again this often: well within the time that a repair may take. */
-    private static final long LOOK_NANOS = Duration.ofMillis(500).toNanos();
+    /** Interval at which a stopped member is detected and reopened; well within the time allowed for a repair. */
+    private static final long CHECK_INTERVAL_NANOS = Duration.ofMillis(500).toNanos();
 
     private final TimerService timers;
     private final MemberOpener opener;
@@ -30,11 +31,11 @@
     private volatile boolean closed;
 
     /**
-     * Creates a keeper without a member.
+     * Creates a supervisor without a member.
      *
-     * @param timers time on the decision ring
+     * @param timers timers of the decision ring
      * @param opener opens members
-     * @param opened told of each member that was opened
+     * @param opened called with each opened member
      */
     public MemberSupervisor(TimerService timers, MemberOpener opener, Consumer<VersionMember> opened) {
         this.timers = timers;
@@ -42,7 +43,7 @@
         this.opened = opened;
     }
 
-    /** Opens the member, and again whenever it has stopped. */
+    /** Opens the member, and reopens it whenever it has stopped. */
     public void start() {
         if (closed) {
             return;
@@ -50,7 +51,7 @@
         if (member.filter(VersionMember::isRunning).isEmpty()) {
             open();
         }
-        timers.schedule(LOOK_NANOS, this::start);
+        timers.schedule(CHECK_INTERVAL_NANOS, this::start);
     }
 
     @Override
@@ -88,16 +89,16 @@
     public interface MemberOpener {
 
         /**
-         * Opens the member from what its disk holds.
+         * Opens the member from its disk.
          *
          * @return the member
-         * @throws CorruptLogException if what it had synced is damaged
-         * @throws IOException         if the disk fails
+         * @throws CorruptLogException if synced records are damaged
+         * @throws IOException if the disk fails
          */
         VersionMember open() throws IOException;
 
         /**
-         * Deletes what the disk holds, so that the next member begins as a new one.
+         * Deletes the records on disk, so that the next member starts as a new one.
          *
          * @throws IOException if the disk fails
          */
--- a/library/src/main/java/org/copperspindle/version/VersionExchange.java
+++ b/library/src/main/java/org/copperspindle/version/VersionExchange.java
@@ -13,12 +13,13 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * Carries versions and leases between the nodes: a leader pushes what was accepted and answers questions, every node
- * asks whom it takes for the leader. Runs on the network thread.
+ * Exchanges configuration versions and leases between the nodes. A leader pushes accepted versions and responds to
+ * lease requests; every node sends its requests to the node that it considers the leader. Must be used on the network
+ * thread.
  */
 public final class VersionExchange implements MeshListener {
 
-    /** A large text takes a while over a slow link; before that it is not sent again. */
+    /** Time before a version is sent again to a node: a large text takes a while over a slow link. */
     private static final long RESEND_NANOS = Duration.ofMillis(1500).toNanos();
 
     private final NodeMesh mesh;
@@ -28,13 +29,13 @@
     private VersionHolder holder;
     private Optional<VersionMember> member = Optional.empty();
     private MemberStatus status = MemberStatus.NONE;
-    private Optional<String> asked = Optional.empty();
+    private Optional<String> lastAskedLeader = Optional.empty();
 
     /**
-     * Creates the exchange; to be subscribed to the mesh.
+     * Creates the exchange. The caller subscribes it to the mesh.
      *
      * @param mesh    the nodes
-     * @param timers  time on the network thread
+     * @param timers  timers of the network thread
      * @param network runs tasks on the network thread
      */
     public VersionExchange(NodeMesh mesh, TimerService timers, Executor network) {
@@ -44,9 +45,9 @@
     }
 
     /**
-     * Sets what this node serves by.
+     * Sets the holder of the version that this node serves by.
      *
-     * @param own the holder, which asks through {@link #requestLease}
+     * @param own the holder, which sends its requests through {@link #requestLease}
      */
     public void holder(VersionHolder own) {
         holder = own;
@@ -62,9 +63,9 @@
     }
 
     /**
-     * Takes note of what this node's member knows.
+     * Updates the status of this node's member.
      *
-     * @param newest its status
+     * @param newest its new status
      */
     public void status(MemberStatus newest) {
         status = newest;
@@ -75,9 +76,9 @@
     }
 
     /**
-     * Returns what this node's member knows.
+     * Returns the status of this node's member.
      *
-     * @return its status; that of no member if this node has none
+     * @return its status; {@link MemberStatus#NONE} if this node has no member
      */
     public MemberStatus status() {
         return status;
@@ -93,7 +94,7 @@
     }
 
     /**
-     * Finds the leader of the highest term that any node tells of.
+     * Returns the leader of the highest term that any node reports.
      *
      * @return name of its node
      */
@@ -110,7 +111,7 @@
     }
 
     /**
-     * Finds where operators reach the leader.
+     * Returns the address at which operators reach the leader.
      *
      * @return IP:PORT, empty if this node leads, or no leader is connected
      */
@@ -119,39 +120,39 @@
     }
 
     /**
-     * Sends a question to the leader.
+     * Sends a lease request to the leader.
      *
-     * @param question the question
+     * @param request the request
      */
-    public void requestLease(VersionLeaseRequestMessage question) {
+    public void requestLease(VersionLeaseRequestMessage request) {
         Optional<String> leader = leader();
         if (leader.isEmpty()) {
             return;
         }
         if (leader.get().equals(mesh.self())) {
             member.ifPresent(own ->
-                    own.askNewest(newest -> network.execute(() -> answerSelf(question.sequence(), newest))));
+                    own.readIfLeading(newest -> network.execute(() -> respondToSelf(request.sequence(), newest))));
         } else {
-            mesh.find(leader.get()).ifPresent(node -> node.send(question));
+            mesh.find(leader.get()).ifPresent(node -> node.send(request));
         }
     }
 
     /**
-     * Takes a version that this node's member has recorded.
+     * Processes a version that this node's member has recorded.
      *
-     * @param edition the version
+     * @param newVersion the version
      */
-    public void recorded(VersionMessage edition) {
-        holder.receive(edition);
+    public void recorded(VersionMessage newVersion) {
+        holder.receive(newVersion);
         if (status.leads()) {
-            mesh.nodes().forEach(node -> push(node, node.hello().version(), edition));
+            mesh.nodes().forEach(node -> push(node, node.hello().version(), newVersion));
         }
     }
 
     /**
-     * Takes the evacuated failure domains that this node's member has recorded.
+     * Processes the evacuated failure domains that this node's member has recorded.
      *
-     * @param evacuations all of them
+     * @param evacuations all evacuated failure domains
      */
     public void recorded(EvacuationsMessage evacuations) {
         holder.receive(evacuations);
@@ -162,26 +163,26 @@
 
     @Override
     public void onMessage(MeshNode node, WireMessage message) {
-        if (message instanceof VersionLeaseRequestMessage question) {
+        if (message instanceof VersionLeaseRequestMessage request) {
             member.ifPresent(own ->
-                    own.askNewest(newest -> network.execute(() -> answer(node.address(), question, newest))));
-        } else if (message instanceof VersionLeaseResponseMessage answer) {
-            holder.receive(answer);
-        } else if (message instanceof VersionMessage edition) {
-            holder.receive(edition);
+                    own.readIfLeading(newest -> network.execute(() -> respond(node.address(), request, newest))));
+        } else if (message instanceof VersionLeaseResponseMessage respond) {
+            holder.receive(respond);
+        } else if (message instanceof VersionMessage newVersion) {
+            holder.receive(newVersion);
         } else if (message instanceof EvacuationsMessage evacuations) {
             holder.receive(evacuations);
         }
     }
 
-    /** A node that has been told of another leader asks that one at once: after a loss of all, callers wait for its lease. */
+    /** Requests a lease as soon as a new leader is known: after the loss of all nodes, callers wait for this lease. */
     @Override
     public void onHello(MeshNode node) {
         Optional<String> leader = leader();
         if (leader.isPresent()
-                && !leader.equals(asked)
+                && !leader.equals(lastAskedLeader)
                 && mesh.find(leader.get()).isPresent()) {
-            asked = leader;
+            lastAskedLeader = leader;
             holder.requestLease();
         }
     }
@@ -191,23 +192,23 @@
         sent.remove(node.address());
     }
 
-    private void answerSelf(long sequence, VersionSnapshotMessage newest) {
+    private void respondToSelf(long sequence, VersionSnapshotMessage newest) {
         newest.newestVersion().ifPresent(holder::receive);
         holder.receive(newest.evacuations());
         holder.receive(lease(sequence, newest));
     }
 
-    private void answer(String address, VersionLeaseRequestMessage question, VersionSnapshotMessage newest) {
+    private void respond(String address, VersionLeaseRequestMessage request, VersionSnapshotMessage newest) {
         Optional<MeshNode> node = mesh.find(address);
         if (node.isEmpty()) {
             return;
         }
-        // What the node lacks goes first: with it the node can use the lease that follows.
-        newest.newestVersion().ifPresent(edition -> push(node.get(), question.held(), edition));
-        if (newest.evacuations().revision() > question.revision()) {
+        // Missing data is sent first, so that the node can use the lease that follows.
+        newest.newestVersion().ifPresent(newVersion -> push(node.get(), request.held(), newVersion));
+        if (newest.evacuations().revision() > request.revision()) {
             node.get().send(newest.evacuations());
         }
-        node.get().send(lease(question.sequence(), newest));
+        node.get().send(lease(request.sequence(), newest));
     }
 
     private static VersionLeaseResponseMessage lease(long sequence, VersionSnapshotMessage newest) {
@@ -215,15 +216,16 @@
                 sequence, newest.version(), newest.evacuations().revision());
     }
 
-    private void push(MeshNode node, long held, VersionMessage edition) {
+    private void push(MeshNode node, long held, VersionMessage newVersion) {
         long now = timers.nanoTime();
-        Sent last = sent.get(node.address());
-        boolean underWay = last != null && last.version() >= edition.version() && now - last.at() < RESEND_NANOS;
-        if (held >= edition.version() || underWay) {
+        Sent lastSent = sent.get(node.address());
+        boolean isInFlight =
+                lastSent != null && lastSent.version() >= newVersion.version() && now - lastSent.at() < RESEND_NANOS;
+        if (held >= newVersion.version() || isInFlight) {
             return;
         }
-        sent.put(node.address(), new Sent(edition.version(), now));
-        node.send(edition);
+        sent.put(node.address(), new Sent(newVersion.version(), now));
+        node.send(newVersion);
     }
 
     private record Sent(long version, long at) {}
--- a/library/src/main/java/org/copperspindle/version/VersionHolder.java
+++ b/library/src/main/java/org/copperspindle/version/VersionHolder.java
@@ -17,63 +17,63 @@
 import org.copperspindle.time.TimerService;
 
 /**
- * The version that this node serves by, the evacuated failure domains, and its lease on both. A node never goes back to a
- * lower version or revision. It serves only under a lease: one that was cut off could else go on running requests under
- * keys that were taken away or at upstreams that are evacuated, and one that was restarted could begin with what is old.
- * Runs on the network thread.
+ * Holds the configuration version that this node serves by, the evacuated failure domains, and the lease on both. A
+ * node never returns to a lower version or revision. It serves only under a lease: without one, an isolated node
+ * could keep accepting revoked keys or using evacuated upstreams, and a restarted node could start with outdated
+ * data. Must be used on the network thread.
  */
 public final class VersionHolder {
 
     private static final Logger LOGGER = LogManager.getLogger(VersionHolder.class);
 
-    /** Interval of questions to the leader; several may be lost before a lease ends. */
-    private static final Duration ASK_INTERVAL = Duration.ofMillis(400);
+    /** Interval of lease requests to the leader; several may be lost before a lease expires. */
+    private static final Duration REQUEST_INTERVAL = Duration.ofMillis(400);
 
-    private static final int MAX_OPEN_QUESTIONS = 32;
+    private static final int MAX_PENDING_REQUESTS = 32;
 
     private final TimerService timers;
     private final RouteTableReader reader;
     private final long leaseNanos;
     private final SuspensionWatch watch;
-    private final Consumer<VersionLeaseRequestMessage> leader;
+    private final Consumer<VersionLeaseRequestMessage> requestSender;
     private final List<Consumer<RouteTable>> listeners = new ArrayList<>();
     private final List<Consumer<EvacuationsMessage>> evacuationListeners = new ArrayList<>();
-    private final Deque<Question> questions = new ArrayDeque<>();
-    private Optional<VersionMessage> edition = Optional.empty();
+    private final Deque<PendingRequest> pendingRequests = new ArrayDeque<>();
+    private Optional<VersionMessage> heldVersion = Optional.empty();
     private Optional<RouteTable> table = Optional.empty();
     private EvacuationsMessage evacuations = EvacuationsMessage.NONE;
     private boolean leased;
     private boolean everLeased;
     private long leaseUntil;
-    private Optional<Wanted> wanted = Optional.empty();
+    private Optional<RequiredState> required = Optional.empty();
     private long sequence;
 
     /**
-     * Creates a holder of nothing.
+     * Creates a holder without a version.
      *
-     * @param timers time on the network thread
-     * @param reader reads texts of versions
-     * @param lease  how long a lease lasts; shorter than the time in which a key that is taken away must be dead
-     * @param watch  notices that this VM stood still
-     * @param leader sends a question to the leader, if one is known
+     * @param timers        timers of the network thread
+     * @param reader        parses the texts of versions
+     * @param lease         duration of a lease; shorter than the time within which a revoked key must become invalid
+     * @param watch         detects that this VM was suspended
+     * @param requestSender sends a request to the leader, if one is known
      */
     public VersionHolder(
             TimerService timers,
             RouteTableReader reader,
             Duration lease,
             SuspensionWatch watch,
-            Consumer<VersionLeaseRequestMessage> leader) {
+            Consumer<VersionLeaseRequestMessage> requestSender) {
         this.timers = timers;
         this.reader = reader;
         this.leaseNanos = lease.toNanos();
         this.watch = watch;
-        this.leader = leader;
+        this.requestSender = requestSender;
     }
 
     /**
      * Adds a listener.
      *
-     * @param listener told of each table that this node begins to hold
+     * @param listener called with each table that this node starts to hold
      */
     public void subscribe(Consumer<RouteTable> listener) {
         listeners.add(listener);
@@ -82,89 +82,89 @@
     /**
      * Adds a listener.
      *
-     * @param listener told of each list of evacuated failure domains that this node begins to hold
+     * @param listener called with each list of evacuated failure domains that this node starts to hold
      */
     public void subscribeEvacuations(Consumer<EvacuationsMessage> listener) {
         evacuationListeners.add(listener);
     }
 
-    /** Begins to ask the leader. */
+    /** Starts requesting leases periodically. */
     public void start() {
         requestLease();
-        timers.schedule(ASK_INTERVAL.toNanos(), this::start);
+        timers.schedule(REQUEST_INTERVAL.toNanos(), this::start);
     }
 
-    /** Asks the leader now, for example when a new one is known. */
+    /** Requests a lease now, for example when a new leader is known. */
     public void requestLease() {
         checkSuspension();
         sequence++;
-        questions.addLast(new Question(sequence, timers.nanoTime()));
-        if (questions.size() > MAX_OPEN_QUESTIONS) {
-            questions.removeFirst();
+        pendingRequests.addLast(new PendingRequest(sequence, timers.nanoTime()));
+        if (pendingRequests.size() > MAX_PENDING_REQUESTS) {
+            pendingRequests.removeFirst();
         }
-        leader.accept(new VersionLeaseRequestMessage(sequence, version(), evacuations.revision()));
+        requestSender.accept(new VersionLeaseRequestMessage(sequence, version(), evacuations.revision()));
     }
 
     /**
-     * Takes the leader's answer.
+     * Processes a response of the leader.
      *
-     * @param answer the answer
+     * @param response the response
      */
-    public void receive(VersionLeaseResponseMessage answer) {
+    public void receive(VersionLeaseResponseMessage response) {
         checkSuspension();
-        Optional<Question> asked = questions.stream()
-                .filter(q -> q.sequence() == answer.sequence())
+        Optional<PendingRequest> request = pendingRequests.stream()
+                .filter(pending -> pending.sequence() == response.sequence())
                 .findFirst();
-        if (asked.isEmpty() || answer.version() == 0) {
+        if (request.isEmpty() || response.version() == 0) {
             return;
         }
-        questions.removeIf(q -> q.sequence() <= answer.sequence());
-        // What is lacking is under way on the same connection.
-        wanted = Optional.of(
-                new Wanted(answer.version(), answer.revision(), asked.get().sentAt()));
+        pendingRequests.removeIf(pending -> pending.sequence() <= response.sequence());
+        // Missing data is already in transit on the same connection.
+        required = Optional.of(new RequiredState(
+                response.version(), response.revision(), request.get().sentAt()));
         extendIfComplete();
     }
 
     /**
-     * Takes a version that was accepted. A lower one than that held is dropped.
+     * Processes an accepted version. A version that is not newer than the held one is ignored.
      *
-     * @param news the version
+     * @param received the version
      */
-    public void receive(VersionMessage news) {
-        if (news.version() <= version()) {
+    public void receive(VersionMessage received) {
+        if (received.version() <= version()) {
             return;
         }
-        RouteTableResult result = reader.read(news.text());
+        RouteTableResult result = reader.read(received.text());
         if (!(result instanceof RouteTableResult.Valid valid)) {
-            // Texts are checked before they are recorded: only another build can have let this one pass.
-            LOGGER.error("event=version-unreadable version={} problem=\"{}\"", news.version(), result);
+            // Texts are validated before they are recorded, so only another build can have accepted this one.
+            LOGGER.error("event=version-unreadable version={} problem=\"{}\"", received.version(), result);
             return;
         }
         long before = version();
-        edition = Optional.of(news);
+        heldVersion = Optional.of(received);
         table = Optional.of(valid.table());
-        LOGGER.info("event=version-held version={} before={} leased={}", news.version(), before, isLeased());
+        LOGGER.info("event=version-held version={} before={} leased={}", received.version(), before, isLeased());
         listeners.forEach(listener -> listener.accept(valid.table()));
         extendIfComplete();
     }
 
     /**
-     * Takes a list of evacuated failure domains. One that is not newer than that held is dropped.
+     * Processes a list of evacuated failure domains. A list that is not newer than the held one is ignored.
      *
-     * @param news the list
+     * @param received the list
      */
-    public void receive(EvacuationsMessage news) {
-        if (news.revision() <= evacuations.revision()) {
+    public void receive(EvacuationsMessage received) {
+        if (received.revision() <= evacuations.revision()) {
             return;
         }
         LOGGER.info(
                 "event=evacuations-held revision={} before={} evacuated={} leased={}",
-                news.revision(),
+                received.revision(),
                 evacuations.revision(),
-                news.failureDomains(),
+                received.failureDomains(),
                 isLeased());
-        evacuations = news;
-        evacuationListeners.forEach(listener -> listener.accept(news));
+        evacuations = received;
+        evacuationListeners.forEach(listener -> listener.accept(received));
         extendIfComplete();
     }
 
@@ -174,11 +174,11 @@
      * @return 0 if none
      */
     public long version() {
-        return edition.map(VersionMessage::version).orElse(0L);
+        return heldVersion.map(VersionMessage::version).orElse(0L);
     }
 
     /**
-     * Returns the evacuated failure domains as this node knows them, under a lease or not.
+     * Returns the evacuated failure domains known to this node, with or without a lease.
      *
      * @return the newest list held
      */
@@ -187,7 +187,7 @@
     }
 
     /**
-     * Returns the table held, in force or not.
+     * Returns the held table, whether in force or not.
      *
      * @return the table
      */
@@ -196,7 +196,7 @@
     }
 
     /**
-     * Returns the table to serve by.
+     * Returns the table that this node serves by.
      *
      * @return empty without a lease
      */
@@ -206,9 +206,9 @@
     }
 
     /**
-     * Says whether this node has had a lease since it started.
+     * Returns whether this node has had a lease since it started.
      *
-     * @return false while it waits for its first
+     * @return false while it waits for its first lease
      */
     public boolean wasEverLeased() {
         return everLeased;
@@ -227,8 +227,8 @@
         if (!watch.stoodStill()) {
             return;
         }
-        questions.clear();
-        wanted = Optional.empty();
+        pendingRequests.clear();
+        required = Optional.empty();
         if (leased) {
             leased = false;
             LOGGER.warn("event=lease-lost version={} reason=suspended", version());
@@ -236,11 +236,11 @@
     }
 
     private void extendIfComplete() {
-        Optional<Wanted> complete =
-                wanted.filter(news -> news.version() <= version() && news.revision() <= evacuations.revision());
-        complete.ifPresent(news -> {
-            wanted = Optional.empty();
-            extend(news.sentAt());
+        Optional<RequiredState> complete = required.filter(
+                received -> received.version() <= version() && received.revision() <= evacuations.revision());
+        complete.ifPresent(received -> {
+            required = Optional.empty();
+            extend(received.sentAt());
         });
     }
 
@@ -259,8 +259,8 @@
         }
     }
 
-    private record Question(long sequence, long sentAt) {}
+    private record PendingRequest(long sequence, long sentAt) {}
 
-    /** What the leader said is newest, in answer to a question of a certain instant. */
-    private record Wanted(long version, long revision, long sentAt) {}
+    /** Newest version and revision according to the leader, and when the request was sent. */
+    private record RequiredState(long version, long revision, long sentAt) {}
 }
--- a/library/src/main/java/org/copperspindle/version/VersionLeaseRequestMessage.java
+++ b/library/src/main/java/org/copperspindle/version/VersionLeaseRequestMessage.java
@@ -6,11 +6,11 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * A node asks the leader whether it holds what is newest.
+ * Request of a node to the leader for a lease on the newest state.
  *
- * @param sequence number of the question, to match its answer
+ * @param sequence number of the request, to match its response
  * @param held     version that the node holds, 0 if none
- * @param revision revision of the evacuations that it holds, 0 before the first
+ * @param revision revision of the evacuations that the node holds, 0 before the first
  */
 public record VersionLeaseRequestMessage(long sequence, long held, long revision) implements WireMessage {
 
--- a/library/src/main/java/org/copperspindle/version/VersionLeaseResponseMessage.java
+++ b/library/src/main/java/org/copperspindle/version/VersionLeaseResponseMessage.java
@@ -6,10 +6,10 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * The leader says what was the newest when it was asked. A node that holds both may serve for the length of a lease, counted
- * from when it asked.
+ * Response of the leader with the newest version and revision at the time of the request. A node that holds both may
+ * serve for the length of a lease, counted from the time at which it sent the request.
  *
- * @param sequence number of the question
+ * @param sequence number of the request
  * @param version  newest version, 0 if none was accepted yet
  * @param revision revision of the evacuations, 0 before the first
  */
--- a/library/src/main/java/org/copperspindle/version/VersionMember.java
+++ b/library/src/main/java/org/copperspindle/version/VersionMember.java
@@ -19,14 +19,14 @@
 import org.copperspindle.wire.WireTransport;
 
 /**
- * This node's member of the control group. Its log runs on the decision ring; all methods may be called from any thread,
- * and callbacks come on the ring.
+ * This node's member of the control group. Its log runs on the decision ring. All methods may be called from any
+ * thread; callbacks run on the ring.
  */
 public final class VersionMember implements AutoCloseable {
 
     private static final Logger LOGGER = LogManager.getLogger(VersionMember.class);
 
-    /** How often what is known of the leader is made known to the network thread. */
+    /** Interval at which the status of the leader is published to the network thread. */
     private static final long STATUS_NANOS = Duration.ofMillis(100).toNanos();
 
     private final DecisionRing ring;
@@ -35,9 +35,9 @@
     private final ReplicatedLog log;
     private final SuspensionWatch watch;
     private final Consumer<MemberStatus> listener;
-    private final long distrustNanos;
+    private final long distrustPeriodNanos;
     private long distrustUntil;
-    private boolean distrusts;
+    private boolean isDistrusted;
     private MemberStatus published = MemberStatus.NONE;
     private volatile boolean closed;
 
@@ -55,19 +55,19 @@
         this.log = log;
         this.watch = watch;
         this.listener = listener;
-        this.distrustNanos = electionTimeout.toNanos();
+        this.distrustPeriodNanos = electionTimeout.toNanos();
     }
 
     /**
      * Opens the member and starts it.
      *
-     * @param ring      ring that owns its log
-     * @param timers    time on that ring
+     * @param ring      ring that owns the log
+     * @param timers    timers of that ring
      * @param transport transport of the log's own connections
      * @param settings  settings of the log
-     * @param bind      where the member listens; others reach it at the address in its settings
-     * @param state     what the log drives
-     * @param listener  told on the ring when the leader, the term or the part in the group changes
+     * @param bind      address at which the member listens; others reach it at the address in its settings
+     * @param state     state machine driven by the log
+     * @param listener  called on the ring when the leader, the term or this member's role changes
      * @return the member
      * @throws IOException if the disk fails or its records are damaged
      */
@@ -92,39 +92,39 @@
     /**
      * Records a version.
      *
-     * @param edition  the version, checked before
-     * @param callback told how it ended
+     * @param version  the version, already validated
+     * @param callback receives the result
      */
-    public void put(VersionMessage edition, Consumer<VersionResult> callback) {
-        propose(VersionMessage.CODEC.encode(edition), callback);
+    public void put(VersionMessage version, Consumer<VersionResult> callback) {
+        propose(VersionMessage.CODEC.encode(version), callback);
     }
 
     /**
-     * Records an order on a failure domain.
+     * Records an evacuation order for a failure domain.
      *
-     * @param order    the order, its name checked before
-     * @param callback told how it ended
+     * @param order    the order, its name already validated
+     * @param callback receives the result
      */
     public void evacuate(EvacuationCommand order, Consumer<VersionResult> callback) {
         propose(EvacuationCommand.CODEC.encode(order), callback);
     }
 
     /**
-     * Reads the newest version. The question goes through the log: a leader that was frozen and does not know yet that
-     * there is another one could else answer with a version that was overtaken.
+     * Reads the newest version. The read goes through the log: a leader that was suspended and does not know yet that
+     * it has been replaced could otherwise return an outdated version.
      *
-     * @param callback told the result
+     * @param callback receives the result
      */
     public void read(Consumer<VersionResult> callback) {
         propose(VersionState.READ, callback);
     }
 
     /**
-     * Asks for all that was accepted, if this member leads.
+     * Reads the accepted state if this member is the leader.
      *
-     * @param callback told what is newest; not called if this member does not lead or can't be sure of it
+     * @param callback receives the newest state; not called if this member is not the leader or cannot be sure of it
      */
-    public void askNewest(Consumer<VersionSnapshotMessage> callback) {
+    public void readIfLeading(Consumer<VersionSnapshotMessage> callback) {
         ring.offer(() -> {
             if (isTrusted() && log.leads()) {
                 callback.accept(state.held());
@@ -133,7 +133,7 @@
     }
 
     /**
-     * Says whether the member still takes part in its group.
+     * Returns whether the member still participates in its group.
      *
      * @return false after its disk has failed or it was closed
      */
@@ -148,30 +148,30 @@
     }
 
     /**
-     * Listens for the other members. The log is closed if that fails, for example since the port is still taken: left open, it
-     * would keep its folder locked, and no later attempt could open it.
+     * Listens for the other members. The log is closed if this fails, for example because the port is still in use:
+     * an open log would keep its folder locked, and no later attempt could open it.
      */
     private static void listen(WireTransport transport, InetSocketAddress bind, ConsensusLog log) {
-        boolean listens = false;
+        boolean isListening = false;
         try {
             transport.listen(bind, log);
-            listens = true;
+            isListening = true;
         } finally {
-            if (!listens) {
+            if (!isListening) {
                 log.close();
             }
         }
     }
 
     private void propose(byte[] command, Consumer<VersionResult> callback) {
-        boolean taken = ring.offer(() -> {
+        boolean accepted = ring.offer(() -> {
             if (!isTrusted()) {
                 callback.accept(new VersionResult.NotLeading());
                 return;
             }
             log.propose(command, result -> callback.accept(read(result)));
         });
-        if (!taken) {
+        if (!accepted) {
             callback.accept(new VersionResult.NotLeading());
         }
     }
@@ -188,16 +188,19 @@
                 : new VersionResult.Recorded(state.held());
     }
 
-    /** After a suspension the leader's lease, counted on a clock that stood still, proves nothing until it has ended. */
+    /**
+     * Returns whether the leader's lease can be trusted. It is measured on a clock that stops during a suspension, so
+     * afterwards it is not trusted until it has expired.
+     */
     private boolean isTrusted() {
         long now = timers.nanoTime();
         if (watch.stoodStill()) {
             LOGGER.warn("event=suspension-noticed action=leases-held-back");
-            distrustUntil = now + distrustNanos;
-            distrusts = true;
+            distrustUntil = now + distrustPeriodNanos;
+            isDistrusted = true;
         }
-        distrusts &= now - distrustUntil < 0;
-        return !distrusts;
+        isDistrusted &= now - distrustUntil < 0;
+        return !isDistrusted;
     }
 
     private void publish() {
--- a/library/src/main/java/org/copperspindle/version/VersionMessage.java
+++ b/library/src/main/java/org/copperspindle/version/VersionMessage.java
@@ -6,10 +6,10 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * One version of the configuration: a command of the log, its snapshot, and what nodes send each other.
+ * One configuration version. Used as a command of the log, in its snapshots, and between nodes.
  *
- * @param version its version, above 0
- * @param text    the text as the operator sent it, to be given back unchanged
+ * @param version version number, above 0
+ * @param text    the text exactly as the operator sent it
  */
 public record VersionMessage(long version, byte[] text) implements WireMessage {
 
--- a/library/src/main/java/org/copperspindle/version/VersionObserver.java
+++ b/library/src/main/java/org/copperspindle/version/VersionObserver.java
@@ -1,21 +1,21 @@
 package org.copperspindle.version;
 
 /**
- * Hears of what the control group has committed.
+ * Observer of the state that the control group has committed.
  */
 public interface VersionObserver {
 
     /**
-     * A version comes into force.
+     * Called when a version comes into force.
      *
-     * @param edition the version
+     * @param version the version
      */
-    void onVersion(VersionMessage edition);
+    void onVersion(VersionMessage version);
 
     /**
-     * A failure domain is evacuated or used again.
+     * Called when a failure domain is evacuated or reopened.
      *
-     * @param evacuations all that are evacuated now
+     * @param evacuations all failure domains that are evacuated now
      */
     void onEvacuations(EvacuationsMessage evacuations);
 }
--- a/library/src/main/java/org/copperspindle/version/VersionResult.java
+++ b/library/src/main/java/org/copperspindle/version/VersionResult.java
@@ -1,27 +1,28 @@
 package org.copperspindle.version;
 
 /**
- * How a question to the control group ended.
+ * Result of an operation on the control group.
  */
 public sealed interface VersionResult {
 
     /**
-     * Committed: the state holds everything that was acknowledged before the question came.
+     * The operation is committed; the state includes everything that was acknowledged before the operation was
+     * submitted.
      *
      * @param held all that was accepted
      */
     record Recorded(VersionSnapshotMessage held) implements VersionResult {}
 
     /**
-     * Committed, and changed nothing.
+     * The operation is committed but was refused and changed nothing.
      *
-     * @param reason why, for the operator
+     * @param reason reason, for the operator
      */
     record Refused(String reason) implements VersionResult {}
 
-    /** This member does not lead; nothing was recorded. */
+    /** This member is not the leader; nothing was recorded. */
     record NotLeading() implements VersionResult {}
 
-    /** The leader lost its place meanwhile: the change may or may not be recorded. */
+    /** The leader was replaced meanwhile; the change may or may not be recorded. */
     record Unknown() implements VersionResult {}
 }
--- a/library/src/main/java/org/copperspindle/version/VersionSnapshotMessage.java
+++ b/library/src/main/java/org/copperspindle/version/VersionSnapshotMessage.java
@@ -8,7 +8,7 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * Everything that the group has accepted: a snapshot of its log.
+ * The accepted state of the group; also the snapshot format of its log.
  *
  * @param newestVersion newest version, empty if none was accepted yet
  * @param evacuations   failure domains that are evacuated
@@ -20,7 +20,7 @@
     public static final MessageCodec<VersionSnapshotMessage> CODEC = MessageCodec.of(
             215, VersionSnapshotMessage.class, VersionSnapshotMessage::write, VersionSnapshotMessage::read);
 
-    /** Nothing was accepted yet. */
+    /** State before anything was accepted. */
     static final VersionSnapshotMessage EMPTY = new VersionSnapshotMessage(Optional.empty(), EvacuationsMessage.NONE);
 
     /**
--- a/library/src/main/java/org/copperspindle/version/VersionState.java
+++ b/library/src/main/java/org/copperspindle/version/VersionState.java
@@ -11,20 +11,26 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * The newest accepted version, and the failure domains that are evacuated.
+ * Replicated state: the newest accepted version and the evacuated failure domains.
  *
- * <p>The highest version wins: a version that is not above the one held changes nothing, so that a resent or overtaken change
- * can be acknowledged without harm, and of two texts under one number the first stands. Orders to evacuate carry no number:
- * the last one in the log wins, and one that asks for what is so already changes nothing.
+ * <p>The highest version wins. A version that is not above the held one changes nothing, so a resent or delayed
+ * change can be acknowledged safely, and of two texts with the same number the first one stands. Evacuation orders
+ * carry no number: the last one in the log wins, and an order that matches the current state changes nothing.
  */
 public final class VersionState implements ReplicatedState {
 
-    /** A command that changes nothing; once it is committed, the state holds everything that was acknowledged before. */
+    /**
+     * A command that changes nothing; once it is committed, the state includes everything that was acknowledged
+     * before.
+     */
     static final byte[] READ = new byte[0];
 
     private static final Logger LOGGER = LogManager.getLogger(VersionState.class);
 
-    /** What commands and snapshots are made of. A snapshot that holds a version alone was made before there were evacuations. */
+    /**
+     * Format of commands and snapshots. A snapshot that consists of a version alone was written by a build without
+     * evacuations.
+     */
     private static final MessageRegistry FORMAT = new MessageRegistry()
             .register(VersionMessage.CODEC)
             .register(EvacuationCommand.CODEC)
@@ -36,14 +42,14 @@
     /**
      * Creates the state.
      *
-     * @param observer told of each version and list of evacuations that comes into force
+     * @param observer notified of each version and list of evacuations that comes into force
      */
     public VersionState(VersionObserver observer) {
         this.observer = observer;
     }
 
     /**
-     * Returns all that was accepted.
+     * Returns the accepted state.
      *
      * @return the state as a snapshot would hold it
      */
@@ -60,8 +66,8 @@
         if (message instanceof EvacuationCommand order) {
             return evacuate(order, index, term);
         }
-        if (message instanceof VersionMessage edition && edition.version() > held.version()) {
-            accept(edition, index, term);
+        if (message instanceof VersionMessage newVersion && newVersion.version() > held.version()) {
+            accept(newVersion, index, term);
         }
         return new ControlResult.ConfigAccepted(held.version());
     }
@@ -74,11 +80,11 @@
     @Override
     public void restore(byte[] snapshot) {
         WireMessage message = decode(snapshot);
-        if (message instanceof VersionSnapshotMessage whole) {
-            held = whole;
-        } else if (message instanceof VersionMessage alone) {
-            Optional<VersionMessage> edition = Optional.of(alone).filter(e -> e.version() > 0);
-            held = new VersionSnapshotMessage(edition, EvacuationsMessage.NONE);
+        if (message instanceof VersionSnapshotMessage current) {
+            held = current;
+        } else if (message instanceof VersionMessage legacy) {
+            Optional<VersionMessage> newVersion = Optional.of(legacy).filter(e -> e.version() > 0);
+            held = new VersionSnapshotMessage(newVersion, EvacuationsMessage.NONE);
         }
         held.newestVersion().ifPresent(observer::onVersion);
         if (held.evacuations().revision() > 0) {
@@ -86,16 +92,16 @@
         }
     }
 
-    private void accept(VersionMessage edition, long index, long term) {
+    private void accept(VersionMessage newVersion, long index, long term) {
         LOGGER.info(
                 "event=version-committed version={} before={} index={} term={} bytes={}",
-                edition.version(),
+                newVersion.version(),
                 held.version(),
                 index,
                 term,
-                edition.text().length);
-        held = new VersionSnapshotMessage(Optional.of(edition), held.evacuations());
-        observer.onVersion(edition);
+                newVersion.text().length);
+        held = new VersionSnapshotMessage(Optional.of(newVersion), held.evacuations());
+        observer.onVersion(newVersion);
     }
 
     private ControlResult evacuate(EvacuationCommand order, long index, long term) {
@@ -120,9 +126,10 @@
 
     private static WireMessage decode(byte[] bytes) {
         try {
-            return FORMAT.decode(bytes).orElseThrow(() -> new IllegalStateException("record of an unknown kind"));
+            return FORMAT.decode(bytes)
+                    .orElseThrow(() -> new IllegalStateException("unknown record type in the control log"));
         } catch (MalformedFrameException e) {
-            // The log checks its records: these are the bytes that were proposed.
+            // The log verifies its records, so these are the proposed bytes.
             throw new IllegalStateException(e);
         }
     }
--- a/library/src/main/java/org/copperspindle/version/VoterDiscovery.java
+++ b/library/src/main/java/org/copperspindle/version/VoterDiscovery.java
@@ -14,47 +14,51 @@
 import org.copperspindle.wire.NumericAddress;
 
 /**
- * Takes every node with a disk for a voter, as they come and go. At the very first start the group is founded once the
- * set of them has stood still for a while; later a node can only join. Written on the network thread, read on the ring.
+ * Discovers the voters of the control group: every connected node with a disk. At the very first start the group is
+ * founded once the set of these nodes has been stable for a while; later a node can only join. Written on the network
+ * thread, read on the decision ring.
  */
 public final class VoterDiscovery implements VoterSource, MeshListener {
 
-    /** All processes of a deployment start within a fraction of a second of each other; three times that. */
-    private static final Duration SETTLED = Duration.ofMillis(1000);
+    /**
+     * How long the set of nodes must be stable; three times the fraction of a second within which all processes of a
+     * deployment start.
+     */
+    private static final Duration STABLE_TIME = Duration.ofMillis(1000);
 
-    /** After this a group is founded with fewer nodes than it should have rather than not at all. */
-    private static final Duration PATIENCE = Duration.ofSeconds(6);
+    /** Time after which a group is founded with fewer nodes than required rather than not at all. */
+    private static final Duration MAX_FOUNDING_DELAY = Duration.ofSeconds(6);
 
     private final NodeMesh mesh;
     private final TimerService timers;
     private final boolean firstStart;
-    private final int tolerated;
+    private final int toleratedLosses;
     private final long startedAt;
     private volatile State state;
 
     /**
-     * Creates a roster with this node alone.
+     * Creates a discovery that knows only this node.
      *
-     * @param mesh       the nodes; this node has a disk
-     * @param timers     time on the network thread
-     * @param firstStart true only when the whole deployment starts for the first time
-     * @param tolerated  nodes with a disk whose loss at once must be borne
+     * @param mesh            the nodes; this node has a disk
+     * @param timers          timers of the network thread
+     * @param firstStart      true only when the whole deployment starts for the first time
+     * @param toleratedLosses number of nodes with a disk whose simultaneous loss must be tolerated
      */
-    public VoterDiscovery(NodeMesh mesh, TimerService timers, boolean firstStart, int tolerated) {
+    public VoterDiscovery(NodeMesh mesh, TimerService timers, boolean firstStart, int toleratedLosses) {
         this.mesh = mesh;
         this.timers = timers;
         this.firstStart = firstStart;
-        this.tolerated = tolerated;
+        this.toleratedLosses = toleratedLosses;
         this.startedAt = timers.nanoTime();
         this.state = new State(List.of(), false, startedAt);
         refresh();
     }
 
     /**
-     * Returns where a node's member of the group listens.
+     * Returns the address at which a node's member of the group listens.
      *
      * @param node the node's address
-     * @return the port after the node's
+     * @return the node's address with the next higher port
      */
     public static InetSocketAddress memberAddress(InetSocketAddress node) {
         return new InetSocketAddress(node.getAddress(), node.getPort() + 1);
@@ -86,9 +90,9 @@
         if (!firstStart || now.grouped()) {
             return false;
         }
-        boolean settled = timers.nanoTime() - now.changedAt() > SETTLED.toNanos();
-        boolean patient = timers.nanoTime() - startedAt < PATIENCE.toNanos();
-        return settled && (now.voters().size() >= minVoters() || !patient);
+        boolean isStable = timers.nanoTime() - now.changedAt() > STABLE_TIME.toNanos();
+        boolean mayWaitForMore = timers.nanoTime() - startedAt < MAX_FOUNDING_DELAY.toNanos();
+        return isStable && (now.voters().size() >= minVoters() || !mayWaitForMore);
     }
 
     @Override
@@ -98,7 +102,7 @@
 
     @Override
     public int minVoters() {
-        return 2 * tolerated + 1;
+        return 2 * toleratedLosses + 1;
     }
 
     private void refresh() {
--- a/library/src/main/java/org/copperspindle/version/package-info.java
+++ b/library/src/main/java/org/copperspindle/version/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Versions of the route table: recorded by the control group before they are acknowledged, pushed to every node, and in
- * force at a node only while it holds a lease that says that it has the newest one.
+ * Configuration versions, that is versions of the route table. The control group records a version before it is
+ * acknowledged and pushes it to every node. A node serves by it only while it holds a lease confirming that this is
+ * the newest version.
  */
 package org.copperspindle.version;
--- a/library/src/test/java/org/copperspindle/version/IgnoringObserver.java
+++ b/library/src/test/java/org/copperspindle/version/IgnoringObserver.java
@@ -1,17 +1,17 @@
 package org.copperspindle.version;
 
 /**
- * Takes note of nothing.
+ * Ignores all events.
  */
 final class IgnoringObserver implements VersionObserver {
 
     @Override
-    public void onVersion(VersionMessage edition) {
-        // Only the member's own life is tested.
+    public void onVersion(VersionMessage newVersion) {
+        // Only the life cycle of the member is tested.
     }
 
     @Override
     public void onEvacuations(EvacuationsMessage evacuations) {
-        // The same.
+        // See above.
     }
 }
--- a/library/src/test/java/org/copperspindle/version/MemberSupervisorTest.java
+++ b/library/src/test/java/org/copperspindle/version/MemberSupervisorTest.java
@@ -31,7 +31,7 @@
     private final List<StoppableLog> logs = new ArrayList<>();
     private final List<VersionMember> opened = new ArrayList<>();
     private int drops;
-    private final MemberSupervisor keeper = new MemberSupervisor(time, new Opener(), opened::add);
+    private final MemberSupervisor supervisor = new MemberSupervisor(time, new Opener(), opened::add);
 
     @AfterEach
     void close() {
@@ -39,12 +39,12 @@
     }
 
     /**
-     * The disk of a control member is full for three seconds. Its member stops, and so do the first attempts to open it
-     * again. Later a second member is lost: without the first one the group would accept no change any more.
+     * The disk of a control member is full for three seconds. The member stops, and the first attempts to reopen it
+     * fail. It must be reopened later: once a second member is lost, the group could not accept changes without it.
      */
     @Test
-    void memberIsOpenedAgainWhenItsDiskWorksAgain() {
-        keeper.start();
+    void memberIsReopenedWhenItsDiskRecovers() {
+        supervisor.start();
         assertThat(opened).hasSize(1);
         logs.get(0).running = false;
         failures.add(new IOException("No space left on device"));
@@ -58,11 +58,11 @@
         assertThat(opened).as("left alone while it runs").hasSize(2);
     }
 
-    /** What a member had promised can't be read any more: it must come back as one that has promised nothing. */
+    /** The acknowledged records of a member are damaged: it must return as a new member without any. */
     @Test
     void damagedRecordsAreDroppedBeforeTheNextMember() {
         failures.add(new CorruptLogException(Path.of("log"), 7, "bad record"));
-        keeper.start();
+        supervisor.start();
         assertThat(drops).isEqualTo(1);
         assertThat(opened).isEmpty();
         time.advance(600 * MILLI);
@@ -71,15 +71,15 @@
     }
 
     @Test
-    void closedKeeperOpensNothing() {
-        keeper.start();
-        keeper.close();
+    void closedSupervisorOpensNothing() {
+        supervisor.start();
+        supervisor.close();
         assertThat(logs.get(0).closed).isTrue();
         time.advance(5000 * MILLI);
         assertThat(opened).hasSize(1);
     }
 
-    /** Fails as long as failures are left. */
+    /** Throws the queued failures, then opens members. */
     private final class Opener implements MemberSupervisor.MemberOpener {
         @Override
         public VersionMember open() throws IOException {
@@ -104,7 +104,7 @@
         }
     }
 
-    /** A log that only runs or not. */
+    /** A log with nothing but a running state. */
     private static final class StoppableLog implements ReplicatedLog {
         private boolean running = true;
         private boolean closed;
--- a/library/src/test/java/org/copperspindle/version/VersionHolderTest.java
+++ b/library/src/test/java/org/copperspindle/version/VersionHolderTest.java
@@ -31,128 +31,137 @@
     private final AtomicLong suspended = new AtomicLong();
     private final SuspensionWatch watch =
             new SuspensionWatch(time::nanoTime, () -> (time.nanoTime() + suspended.get()) / MILLI);
-    private final List<VersionLeaseRequestMessage> questions = new ArrayList<>();
-    private final VersionHolder holder =
-            new VersionHolder(time, READER, Duration.ofMillis(3800), watch, questions::add);
+    private final List<VersionLeaseRequestMessage> requests = new ArrayList<>();
+    private final VersionHolder holder = new VersionHolder(time, READER, Duration.ofMillis(3800), watch, requests::add);
 
-    /** A restarted node holds a version that it has been told, and does not know yet whether that is the newest. */
+    /** A restarted node holds a version that it was sent, but does not know yet whether it is the newest. */
     @Test
-    void servesNothingBeforeTheLeaderSaysThatItsVersionIsTheNewest() {
-        holder.receive(edition(5));
+    void servesNothingBeforeTheLeaderConfirmsItsVersion() {
+        holder.receive(newVersion(5));
         assertThat(holder.inForce()).isEmpty();
         holder.requestLease();
-        answer(5);
+        respond(5);
         assertThat(holder.inForce()).map(RouteTable::version).hasValue(5L);
     }
 
-    /** The answer overtakes the text: a node must not go on with the older one under the newer one's lease. */
+    /**
+     * The response arrives before the text: a node must not serve by the older version under the newer version's
+     * lease.
+     */
     @Test
     void waitsForTheTextOfTheNewestVersion() {
-        holder.receive(edition(5));
+        holder.receive(newVersion(5));
         holder.requestLease();
-        answer(6);
+        respond(6);
         assertThat(holder.inForce()).isEmpty();
-        holder.receive(edition(6));
+        holder.receive(newVersion(6));
         assertThat(holder.inForce()).map(RouteTable::version).hasValue(6L);
     }
 
     /**
-     * A key is taken away while this node is cut off. The lease is counted from the question, so that an answer that was
-     * under way for long extends it by less.
+     * A key is revoked while this node is isolated. The lease is counted from the request, so that a delayed response
+     * extends it by less.
      */
     @Test
-    void leaseEndsCountedFromTheQuestion() {
-        holder.receive(edition(5));
+    void leaseIsCountedFromTheRequest() {
+        holder.receive(newVersion(5));
         holder.requestLease();
         time.advance(1000 * MILLI);
-        answer(5);
+        respond(5);
         time.advance(2700 * MILLI);
         assertThat(holder.inForce()).isPresent();
         time.advance(101 * MILLI);
         assertThat(holder.inForce()).isEmpty();
     }
 
-    /** Monotonic time stands still while a VM is suspended; by it the lease would run on for seconds after the wake. */
+    /**
+     * Monotonic time stops while a VM is suspended; by it the lease would continue for seconds after the VM resumes.
+     */
     @Test
     void leaseEndsWithASuspension() {
-        holder.receive(edition(5));
+        holder.receive(newVersion(5));
         holder.requestLease();
-        answer(5);
+        respond(5);
         assertThat(holder.inForce()).isPresent();
         suspended.addAndGet(6000 * MILLI);
         assertThat(holder.inForce()).isEmpty();
-        answer(5);
-        assertThat(holder.inForce()).as("an answer to a question from before").isEmpty();
+        respond(5);
+        assertThat(holder.inForce())
+                .as("a response to a request from before the suspension")
+                .isEmpty();
         holder.requestLease();
-        answer(5);
+        respond(5);
         assertThat(holder.inForce()).isPresent();
     }
 
     @Test
-    void neverGoesBack() {
-        holder.receive(edition(6));
-        holder.receive(edition(5));
+    void neverReturnsToALowerVersion() {
+        holder.receive(newVersion(6));
+        holder.receive(newVersion(5));
         holder.requestLease();
-        answer(5);
+        respond(5);
         assertThat(holder.version()).isEqualTo(6);
         assertThat(holder.inForce()).map(RouteTable::version).hasValue(6L);
     }
 
     /**
-     * A node starts, wakes or was cut off while a failure domain was evacuated. It has the newest table, and without the list its
-     * callers' requests would go to upstreams that must get nothing.
+     * A node starts, resumes or reconnects after a failure domain was evacuated. It has the newest table, but without
+     * the list of evacuations its requests would go to evacuated upstreams.
      */
     @Test
-    void servesNothingBeforeItKnowsTheEvacuations() {
-        holder.receive(edition(5));
+    void servesNothingBeforeItHoldsTheEvacuations() {
+        holder.receive(newVersion(5));
         holder.requestLease();
-        answer(5, 9);
+        respond(5, 9);
         assertThat(holder.inForce()).isEmpty();
         holder.receive(new EvacuationsMessage(9, List.of("d")));
         assertThat(holder.inForce()).map(RouteTable::version).hasValue(5L);
         assertThat(holder.evacuations().failureDomains()).containsExactly("d");
     }
 
-    /** The list comes before a table was accepted at all, as after a first start; then the table is what is waited for. */
+    /**
+     * The evacuations arrive before any table was accepted, as after a first start; the node must then wait for the
+     * table.
+     */
     @Test
     void waitsForTheTableThatFollowsTheEvacuations() {
         holder.receive(new EvacuationsMessage(9, List.of("d")));
         holder.requestLease();
-        answer(1, 9);
+        respond(1, 9);
         assertThat(holder.inForce()).isEmpty();
-        holder.receive(edition(1));
+        holder.receive(newVersion(1));
         assertThat(holder.inForce()).isPresent();
     }
 
-    /** A list that was held up on its way comes after its successor: the failure domain would be used again. */
+    /** A delayed list arrives after its successor; applying it would reopen the failure domain. */
     @ParameterizedTest
     @CsvSource({"8, d", "9, d", "10, "})
-    void evacuationsNeverGoBack(long revision, String expected) {
-        List<EvacuationsMessage> told = new ArrayList<>();
-        holder.subscribeEvacuations(told::add);
+    void neverReturnsToALowerRevision(long revision, String expected) {
+        List<EvacuationsMessage> received = new ArrayList<>();
+        holder.subscribeEvacuations(received::add);
         holder.receive(new EvacuationsMessage(9, List.of("d")));
         holder.receive(new EvacuationsMessage(revision, List.of()));
         assertThat(holder.evacuations().failureDomains()).isEqualTo(expected == null ? List.of() : List.of(expected));
-        assertThat(told).hasSize(revision > 9 ? 2 : 1);
+        assertThat(received).hasSize(revision > 9 ? 2 : 1);
     }
 
     @Test
-    void asksAgainAndAgain() {
+    void requestsLeasesPeriodically() {
         holder.start();
         time.advance(2001 * MILLI);
-        assertThat(questions).hasSize(6);
+        assertThat(requests).hasSize(6);
     }
 
-    private static VersionMessage edition(long version) {
+    private static VersionMessage newVersion(long version) {
         return new VersionMessage(version, Long.toString(version).getBytes(StandardCharsets.UTF_8));
     }
 
-    private void answer(long version) {
-        answer(version, 0);
+    private void respond(long version) {
+        respond(version, 0);
     }
 
-    private void answer(long version, long revision) {
-        long last = questions.get(questions.size() - 1).sequence();
+    private void respond(long version, long revision) {
+        long last = requests.get(requests.size() - 1).sequence();
         holder.receive(new VersionLeaseResponseMessage(last, version, revision));
     }
 }
--- a/library/src/test/java/org/copperspindle/version/VersionMemberTest.java
+++ b/library/src/test/java/org/copperspindle/version/VersionMemberTest.java
@@ -32,16 +32,17 @@
 
 class VersionMemberTest {
 
-    private static final long ASK_AGAIN_MILLIS = 20;
+    private static final long RETRY_MILLIS = 20;
 
     @TempDir
     private Path folder;
 
     /**
-     * A node that lost power starts again while its port is still taken. Opening its member of the control group failed once,
-     * and then for ever: "member-not-opened reason=Address already in use" was followed by "log-refused reason=folder is in
-     * use by another process" twice a second, since the half opened member kept the lock of its folder. After a loss of two
-     * disks and of the power of all other nodes the group had no majority any more, and no caller was served.
+     * A node restarts after a power loss while its port is still in use. Opening its member failed once, and then
+     * forever: "member-not-opened reason=Address already in use" was followed twice a second by "log-refused
+     * reason=folder is in use by another process", because the partly opened member kept the lock on its folder.
+     * After the loss of two disks and a power loss of all other nodes, the group had no majority and no caller was
+     * served.
      */
     @Test
     void memberIsOpenedOnceItsPortIsFree() throws IOException {
@@ -62,8 +63,8 @@
     }
 
     /**
-     * A node starts with the folder of a build that knew no evacuations: its version is in force, and an evacuation is kept beside it from
-     * then on.
+     * A node starts with the folder of a build without evacuations: its version is in force, and evacuations are
+     * stored beside it from then on.
      */
     @Test
     void folderOfABuildWithoutEvacuationsIsRead() throws IOException {
@@ -71,20 +72,19 @@
             Files.copy(VersionMemberTest.class.getResourceAsStream("/control-folder/" + name), folder.resolve(name));
         }
         EvacuationCommand order = new EvacuationCommand("d", true);
-        assertThat(held((member, ended) -> member.read(ended)).version()).isEqualTo(3);
-        assertThat(held((member, ended) -> member.evacuate(order, ended))
+        assertThat(held((member, callback) -> member.read(callback)).version()).isEqualTo(3);
+        assertThat(held((member, callback) -> member.evacuate(order, callback))
                         .evacuations()
                         .failureDomains())
                 .containsExactly("d");
-        VersionSnapshotMessage held = held((member, ended) -> member.read(ended));
-        assertThat(held.newestVersion().map(edition -> new String(edition.text(), StandardCharsets.UTF_8)))
+        VersionSnapshotMessage held = held((member, callback) -> member.read(callback));
+        assertThat(held.newestVersion().map(newVersion -> new String(newVersion.text(), StandardCharsets.UTF_8)))
                 .hasValue("text 3");
         assertThat(held.evacuations().failureDomains()).containsExactly("d");
     }
 
-    /** Opens the member named "voter", asks until it leads and has answered, and closes it. */
-    private VersionSnapshotMessage held(BiConsumer<VersionMember, Consumer<VersionResult>> question)
-            throws IOException {
+    /** Opens the member named "voter", repeats the request until it is the leader and has responded, and closes it. */
+    private VersionSnapshotMessage held(BiConsumer<VersionMember, Consumer<VersionResult>> request) throws IOException {
         MessageRegistry registry = WireTransport.registry();
         ConsensusLog.codecs().forEach(registry::register);
         InetSocketAddress address = LoopbackHost.open().nextAddress();
@@ -94,11 +94,11 @@
                 VersionMember member = open(ring, transport, new VoterAddress("voter", address))) {
             BlockingQueue<VersionResult> results = new LinkedBlockingQueue<>();
             while (true) {
-                question.accept(member, results::add);
+                request.accept(member, results::add);
                 if (results.take() instanceof VersionResult.Recorded recorded) {
                     return recorded.held();
                 }
-                Thread.sleep(ASK_AGAIN_MILLIS);
+                Thread.sleep(RETRY_MILLIS);
             }
         } catch (InterruptedException e) {
             throw new IllegalStateException(e);
--- a/library/src/test/java/org/copperspindle/version/VersionStateTest.java
+++ b/library/src/test/java/org/copperspindle/version/VersionStateTest.java
@@ -14,13 +14,13 @@
 
 class VersionStateTest {
 
-    private final Seen seen = new Seen();
-    private final VersionState state = new VersionState(seen);
+    private final RecordingObserver observed = new RecordingObserver();
+    private final VersionState state = new VersionState(observed);
     private long index;
 
     /**
-     * Two operators send different texts under one number, or an older change arrives again. Whoever asks is told the
-     * version in force; the text that was first under a number stands, and nothing goes back.
+     * Two operators send different texts under one version number, or an older change arrives again. The response
+     * names the version in force; the first text under a number stands, and no version is replaced by a lower one.
      */
     @ParameterizedTest
     @CsvSource({"7, first", "6, first", "8, second"})
@@ -32,16 +32,16 @@
     }
 
     @Test
-    void readChangesNothingAndTellsTheNewest() {
+    void readChangesNothingAndReturnsTheNewest() {
         put(3, "text");
         assertThat(state.apply(++index, 1, VersionState.READ)).isEqualTo(new ControlResult.ConfigAccepted(3));
-        assertThat(seen.versions).containsExactly(3L);
+        assertThat(observed.versions).containsExactly(3L);
     }
 
     @Test
-    void snapshotBringsTheTextBackUnchanged() {
+    void snapshotPreservesTheText() {
         put(3, "text é");
-        Seen restored = new Seen();
+        RecordingObserver restored = new RecordingObserver();
         VersionState other = new VersionState(restored);
         other.restore(state.snapshot());
         assertThat(text(other)).isEqualTo("text é");
@@ -49,7 +49,7 @@
         assertThat(restored.evacuations).isEmpty();
     }
 
-    /** A member starts with a snapshot that was made before there were evacuations: it holds the newest version alone. */
+    /** A member starts with a snapshot of a build without evacuations, which contains the newest version alone. */
     @ParameterizedTest
     @ValueSource(longs = {0, 3})
     void snapshotOfAVersionAloneIsRead(long version) {
@@ -57,12 +57,12 @@
         state.restore(old);
         assertThat(state.held().version()).isEqualTo(version);
         assertThat(state.held().evacuations()).isEqualTo(EvacuationsMessage.NONE);
-        assertThat(seen.versions).hasSize(version > 0 ? 1 : 0);
+        assertThat(observed.versions).hasSize(version > 0 ? 1 : 0);
     }
 
     /**
-     * Orders carry no number, and one may be sent again after a lost answer. Whichever is last in the log wins, and one that
-     * changes nothing leaves the revision as it is, so that nodes need not be told.
+     * Orders carry no number and may be resent after a lost response. The last one in the log wins, and an order that
+     * changes nothing leaves the revision unchanged, so that nodes need not be notified.
      */
     @ParameterizedTest
     @CsvSource({
@@ -81,16 +81,16 @@
         EvacuationsMessage held = state.held().evacuations();
         assertThat(held.revision()).isEqualTo(revision);
         assertThat(String.join(" ", held.failureDomains())).isEqualTo(evacuated);
-        assertThat(seen.evacuations).hasSize((int) revision);
-        VersionState other = new VersionState(new Seen());
+        assertThat(observed.evacuations).hasSize((int) revision);
+        VersionState other = new VersionState(new RecordingObserver());
         other.restore(state.snapshot());
         assertThat(other.held()).isEqualTo(state.held());
     }
 
-    /** A writer that goes wild names one failure domain after the other: what each node holds stays bounded. */
+    /** A faulty writer evacuates one failure domain after the other: the state of each node must stay bounded. */
     @Test
     void refusesMoreEvacuationsThanAnyDeploymentHas() {
-        for (int i = 0; i < EvacuationsMessage.MOST; i++) {
+        for (int i = 0; i < EvacuationsMessage.MAX_FAILURE_DOMAINS; i++) {
             assertThat(order("d" + i, true)).isInstanceOf(ControlResult.ConfigAccepted.class);
         }
         assertThat(order("one-more", true)).isInstanceOf(ControlResult.ConfigRefused.class);
@@ -100,8 +100,8 @@
     }
 
     private ControlResult put(long version, String text) {
-        VersionMessage edition = new VersionMessage(version, text.getBytes(StandardCharsets.UTF_8));
-        return state.apply(++index, 1, VersionMessage.CODEC.encode(edition));
+        VersionMessage newVersion = new VersionMessage(version, text.getBytes(StandardCharsets.UTF_8));
+        return state.apply(++index, 1, VersionMessage.CODEC.encode(newVersion));
     }
 
     private ControlResult order(String failureDomain, boolean begins) {
@@ -113,23 +113,23 @@
         return text(state);
     }
 
-    private static String text(VersionState of) {
-        return new String(of.held().newestVersion().orElseThrow().text(), StandardCharsets.UTF_8);
+    private static String text(VersionState source) {
+        return new String(source.held().newestVersion().orElseThrow().text(), StandardCharsets.UTF_8);
     }
 
-    /** What an observer was told. */
-    private static final class Seen implements VersionObserver {
+    /** Records the events that an observer receives. */
+    private static final class RecordingObserver implements VersionObserver {
         private final List<Long> versions = new ArrayList<>();
         private final List<EvacuationsMessage> evacuations = new ArrayList<>();
 
         @Override
-        public void onVersion(VersionMessage edition) {
-            versions.add(edition.version());
+        public void onVersion(VersionMessage newVersion) {
+            versions.add(newVersion.version());
         }
 
         @Override
-        public void onEvacuations(EvacuationsMessage news) {
-            evacuations.add(news);
+        public void onEvacuations(EvacuationsMessage received) {
+            evacuations.add(received);
         }
     }
 }
