--- a/library/src/main/java/org/copperspindle/routing/AffinityRoutingPolicy.java
+++ b/library/src/main/java/org/copperspindle/routing/AffinityRoutingPolicy.java
@@ -7,16 +7,17 @@
 import org.copperspindle.config.Priority;
 
 /**
- * Sends a prompt's prefix to the same upstream as long as that is not loaded above the others (rendezvous hashing with
- * bounded load), and everything else to the least loaded one. Of an upstream's slots a priority uses no more than its
- * share, so that more urgent work finds some free. Allocates nothing but the result.
+ * Routes requests with the same prompt prefix to the same upstream while its load is not above the others'
+ * (rendezvous hashing with bounded load), and all other requests to the least loaded upstream. Each priority uses at
+ * most its share of an upstream's slots, so that more urgent requests find free slots. The only allocation is the
+ * result.
  */
 public final class AffinityRoutingPolicy implements RoutingPolicy {
 
-    /** Load that an upstream may have for its prefixes' sake, as a multiple of the mean. */
+    /** Load up to which an upstream is preferred for its prefixes, as a multiple of the mean load. */
     public static final double LOAD_BOUND = 1.25;
 
-    /** Slots that a priority may fill, as a share of the declared concurrency. */
+    /** Slots that each priority may fill, as a share of the declared concurrency. */
     private static final double[] SHARES = {1.25, 1.1, 0.95};
 
     private static final double TRIED_PENALTY = 1e6;
@@ -24,29 +25,29 @@
     @Override
     public Optional<UpstreamView> choose(List<UpstreamView> candidates, RoutingRequest request) {
         double bound = request.affinity() == 0 ? 0 : bound(candidates, request);
-        UpstreamView least = null;
+        UpstreamView leastLoaded = null;
         UpstreamView preferred = null;
-        double leastScore = Double.POSITIVE_INFINITY;
-        long highest = Long.MIN_VALUE;
+        double lowestScore = Double.POSITIVE_INFINITY;
+        long highestWeight = Long.MIN_VALUE;
         for (int i = 0; i < candidates.size(); i++) {
             UpstreamView view = candidates.get(i);
-            if (!usable(view, request)) {
+            if (!hasFreeSlot(view, request)) {
                 continue;
             }
             double score = score(view, request);
-            if (score < leastScore) {
-                least = view;
-                leastScore = score;
+            if (score < lowestScore) {
+                leastLoaded = view;
+                lowestScore = score;
             }
             if (score < bound) {
                 long weight = Rendezvous.weight(request.affinity(), view.idHash());
-                if (preferred == null || weight > highest) {
+                if (preferred == null || weight > highestWeight) {
                     preferred = view;
-                    highest = weight;
+                    highestWeight = weight;
                 }
             }
         }
-        return Optional.ofNullable(preferred == null ? least : preferred);
+        return Optional.ofNullable(preferred == null ? leastLoaded : preferred);
     }
 
     private static double bound(List<UpstreamView> candidates, RoutingRequest request) {
@@ -54,7 +55,7 @@
         int count = 0;
         for (int i = 0; i < candidates.size(); i++) {
             UpstreamView view = candidates.get(i);
-            if (available(view, request)) {
+            if (isAvailable(view, request)) {
                 sum += view.load();
                 count++;
             }
@@ -62,12 +63,12 @@
         return count == 0 ? 0 : (sum + 1) / count * LOAD_BOUND + 1;
     }
 
-    private static boolean usable(UpstreamView view, RoutingRequest request) {
-        return available(view, request)
+    private static boolean hasFreeSlot(UpstreamView view, RoutingRequest request) {
+        return isAvailable(view, request)
                 && view.load() < slots(request.pool().concurrency() * request.limitShare(), request.priority());
     }
 
-    private static boolean available(UpstreamView view, RoutingRequest request) {
+    private static boolean isAvailable(UpstreamView view, RoutingRequest request) {
         UpstreamHealth health = view.health();
         if (health.ejected(request.now()) || health.onProbation() && view.load() > 0) {
             return false;
@@ -81,7 +82,8 @@
 
     private static double score(UpstreamView view, RoutingRequest request) {
         Set<String> tried = request.tried();
-        boolean again = !tried.isEmpty() && tried.contains(view.announcement().upstreamId());
-        return again ? view.load() + TRIED_PENALTY : view.load();
+        boolean alreadyTried =
+                !tried.isEmpty() && tried.contains(view.announcement().upstreamId());
+        return alreadyTried ? view.load() + TRIED_PENALTY : view.load();
     }
 }
--- a/library/src/main/java/org/copperspindle/routing/EjectionPolicy.java
+++ b/library/src/main/java/org/copperspindle/routing/EjectionPolicy.java
@@ -6,13 +6,13 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Decides when an entry keeps away from an upstream that fails. Safeguard: ejecting by failures alone would, when a
- * whole pool is slow, send all work to the few that are left, and those would fail next; the symptom is a pool that
- * empties itself. Never ejecting more than half of a pool is enough, because the rest then fails no faster than before.
+ * Decides when an entry ejects a failing upstream. At most half of a pool is ejected: without this limit, a pool that
+ * is slow as a whole would be reduced to a few upstreams that receive all work and fail next, until the pool is
+ * empty. The remaining half fails no faster than before.
  */
 public final class EjectionPolicy {
 
-    /** Share of a pool that may be ejected at once. */
+    /** Share of a pool that may be ejected at the same time. */
     public static final double MAX_SHARE = 0.5;
 
     private static final Logger LOGGER = LogManager.getLogger(EjectionPolicy.class);
@@ -20,12 +20,12 @@
     private EjectionPolicy() {}
 
     /**
-     * Notes a failure and ejects the upstream if it failed often enough and the pool's floor allows it.
+     * Records a failure, and ejects the upstream if it has failed often enough and the limit of the pool allows it.
      *
      * @param view the upstream
      * @param pool all upstreams of its pool
-     * @param now  nanoseconds of the timer service
-     * @return whether it was ejected
+     * @param now  monotonic time in nanoseconds
+     * @return true if it was ejected
      */
     public static boolean failed(UpstreamView view, List<UpstreamView> pool, long now) {
         UpstreamHealth health = view.health();
--- a/library/src/main/java/org/copperspindle/routing/FleetView.java
+++ b/library/src/main/java/org/copperspindle/routing/FleetView.java
@@ -16,7 +16,7 @@
 import org.copperspindle.wire.MalformedFrameException;
 
 /**
- * The upstreams that one entry knows, by pool, as control's updates and own attempts made them.
+ * The upstreams known to one entry, by pool, as updated by the control plane and by the entry's own attempts.
  */
 public final class FleetView {
 
@@ -27,7 +27,7 @@
     private long revision;
 
     /**
-     * Takes an update. A full one replaces the membership but keeps the counters of upstreams that stay.
+     * Applies an update. A full update replaces the membership but keeps the counters of remaining upstreams.
      *
      * @param update the update
      */
@@ -53,9 +53,9 @@
     }
 
     /**
-     * Returns the revision seen.
+     * Returns the membership revision.
      *
-     * @return the membership revision, 0 before the first update
+     * @return the revision of the last update, 0 before the first one
      */
     public long revision() {
         return revision;
@@ -65,7 +65,7 @@
      * Returns the upstreams of a pool.
      *
      * @param pool its name
-     * @return the upstreams, draining ones included
+     * @return the upstreams, including draining ones
      */
     public List<UpstreamView> pool(String pool) {
         return byPool.getOrDefault(pool, List.of());
@@ -74,7 +74,7 @@
     /**
      * Finds an upstream.
      *
-     * @param upstreamId its identity
+     * @param upstreamId id of the upstream
      * @return the upstream, if it is known
      */
     public Optional<UpstreamView> upstream(String upstreamId) {
--- a/library/src/main/java/org/copperspindle/routing/PoolSubset.java
+++ b/library/src/main/java/org/copperspindle/routing/PoolSubset.java
@@ -9,14 +9,14 @@
 import java.util.TreeMap;
 
 /**
- * The part of each pool that one entry sends work to. A decision looks at every upstream of it, so that its cost does
- * not grow with the fleet. Upstreams are ranked by rendezvous hashing for this entry and taken from the failure domains
- * in turn, so that each entry reaches all of them, the entries together load all upstreams alike, and a change of
- * membership changes little.
+ * The subset of each pool that one entry sends work to. A routing decision examines every upstream of the subset, so
+ * its cost does not grow with the fleet. Upstreams are ranked by rendezvous hashing for this entry and taken from the
+ * failure domains in turn: each entry reaches all failure domains, the entries together load all upstreams evenly,
+ * and a membership change alters the subset only slightly.
  */
 public final class PoolSubset {
 
-    /** Upstreams of a pool and model that one entry uses; smaller pools are used whole. */
+    /** Maximum number of upstreams of a pool and model that one entry uses; smaller pools are used completely. */
     public static final int SIZE = 64;
 
     private final FleetView fleet;
@@ -27,8 +27,8 @@
     /**
      * Creates subsets.
      *
-     * @param fleet     upstreams that the entry knows
-     * @param entrySeed differs from entry to entry, stays the same over its lives
+     * @param fleet     upstreams known to the entry
+     * @param entrySeed seed that differs between entries and is stable across restarts
      */
     public PoolSubset(FleetView fleet, long entrySeed) {
         this.fleet = fleet;
@@ -40,7 +40,7 @@
      *
      * @param pool  the pool
      * @param model model that they must serve, empty for any
-     * @return at most {@link #SIZE} upstreams, draining ones included
+     * @return at most {@link #SIZE} upstreams, including draining ones
      */
     public List<UpstreamView> of(String pool, String model) {
         if (fleet.revision() != revision) {
--- a/library/src/main/java/org/copperspindle/routing/Rendezvous.java
+++ b/library/src/main/java/org/copperspindle/routing/Rendezvous.java
@@ -1,7 +1,7 @@
 package org.copperspindle.routing;
 
 /**
- * Weights of rendezvous hashing: for one key, every process ranks the same identities in the same order.
+ * Weights of rendezvous hashing: for a given key, every process ranks the same identities in the same order.
  */
 final class Rendezvous {
 
@@ -10,7 +10,7 @@
 
     private Rendezvous() {}
 
-    /** Returns the weight of an identity for a key; both are hashes already. */
+    /** Returns the weight of an identity for a key. Both arguments must already be hashes. */
     static long weight(long key, long idHash) {
         long mixed = (key ^ idHash) * MIX;
         return (mixed ^ mixed >>> SHIFT) * MIX;
--- a/library/src/main/java/org/copperspindle/routing/RendezvousScore.java
+++ b/library/src/main/java/org/copperspindle/routing/RendezvousScore.java
@@ -3,8 +3,8 @@
 import net.openhft.hashing.LongHashFunction;
 
 /**
- * Scores by which all nodes choose the same among candidates without asking each other: the highest one wins, and a candidate
- * that comes or goes moves only what it wins itself.
+ * Scores with which all nodes choose the same candidate without communication. The highest score wins, and a
+ * candidate that is added or removed only affects the subjects that it wins itself.
  */
 public final class RendezvousScore {
 
@@ -13,11 +13,11 @@
     private RendezvousScore() {}
 
     /**
-     * Scores one candidate.
+     * Returns the score of a candidate.
      *
-     * @param subject   what a candidate is chosen for
-     * @param candidate its name
-     * @return any number, the same at each node
+     * @param subject   subject for which a candidate is chosen
+     * @param candidate name of the candidate
+     * @return the score, the same at each node
      */
     public static long of(String subject, String candidate) {
         return HASH.hashChars(subject + '@' + candidate);
--- a/library/src/main/java/org/copperspindle/routing/RoutingPolicy.java
+++ b/library/src/main/java/org/copperspindle/routing/RoutingPolicy.java
@@ -11,9 +11,9 @@
     /**
      * Chooses an upstream.
      *
-     * @param candidates upstreams of the pool, draining ones included
-     * @param request    what is needed
-     * @return the choice, empty if none may be used now
+     * @param candidates upstreams of the pool, including draining ones
+     * @param request    requirements of the attempt
+     * @return the choice, empty if no upstream may be used now
      */
     Optional<UpstreamView> choose(List<UpstreamView> candidates, RoutingRequest request);
 }
--- a/library/src/main/java/org/copperspindle/routing/RoutingRequest.java
+++ b/library/src/main/java/org/copperspindle/routing/RoutingRequest.java
@@ -7,16 +7,16 @@
 import org.copperspindle.config.StageSettings;
 
 /**
- * What one attempt needs from its upstream.
+ * Requirements of one attempt on its upstream.
  *
  * @param pool          pool to choose from
  * @param stage         stage to run
  * @param failureDomain failure domain of the entry, preferred
  * @param affinity      hash of the prompt's prefix, 0 if there is none
- * @param tried         upstreams that earlier attempts of this stage used, avoided where possible
+ * @param tried         upstreams used by earlier attempts of this stage, avoided if possible
  * @param priority      priority of the request
- * @param now           nanoseconds of the timer service
- * @param limitShare    share of the pool's declared concurrency that may be filled now
+ * @param now           monotonic time in nanoseconds
+ * @param limitShare    share of the pool's declared concurrency that may be used now
  */
 public record RoutingRequest(
         PoolSettings pool,
@@ -29,7 +29,7 @@
         double limitShare) {
 
     /**
-     * Creates a request of standard priority for a policy that does not go by time.
+     * Creates a request of standard priority for a policy that ignores the time.
      *
      * @param pool          pool to choose from
      * @param stage         stage to run
@@ -43,10 +43,10 @@
     }
 
     /**
-     * Returns the same request at another instant and limit.
+     * Returns the same request for another time and limit.
      *
-     * @param instant nanoseconds of the timer service
-     * @param share   share of the pool's declared concurrency that may be filled
+     * @param instant monotonic time in nanoseconds
+     * @param share   share of the pool's declared concurrency that may be used
      * @return the request
      */
     public RoutingRequest at(long instant, double share) {
--- a/library/src/main/java/org/copperspindle/routing/UpstreamHealth.java
+++ b/library/src/main/java/org/copperspindle/routing/UpstreamHealth.java
@@ -1,7 +1,7 @@
 package org.copperspindle.routing;
 
 /**
- * What one entry saw of an upstream's successes and failures, and whether it keeps away from it for a while.
+ * Successes and failures of an upstream as observed by one entry, and whether the entry has ejected it.
  */
 public final class UpstreamHealth {
 
@@ -21,9 +21,9 @@
     private boolean onProbation;
 
     /**
-     * Notes a success.
+     * Records a success.
      *
-     * @param now nanoseconds of the timer service
+     * @param now monotonic time in nanoseconds
      */
     public void succeeded(long now) {
         lastSuccessAt = now;
@@ -36,7 +36,7 @@
         }
     }
 
-    /** Notes a failure. */
+    /** Records a failure. */
     public void failed() {
         failuresInARow++;
         samples++;
@@ -44,9 +44,9 @@
     }
 
     /**
-     * Says whether there were failures enough to keep away. A single failure is never enough.
+     * Returns whether there were enough failures to eject the upstream. A single failure is never enough.
      *
-     * @return true if it should be ejected, where the pool's floor allows it
+     * @return true if it should be ejected, provided that the limit of the pool allows it
      */
     public boolean failing() {
         return onProbation && failuresInARow > 0
@@ -55,9 +55,9 @@
     }
 
     /**
-     * Keeps away for a while, longer each time.
+     * Ejects the upstream for a while, longer each time.
      *
-     * @param now nanoseconds of the timer service
+     * @param now monotonic time in nanoseconds
      */
     public void eject(long now) {
         ejectedUntil = now + (BASE_EJECTION_NANOS << Math.min(ejections, MAX_DOUBLINGS));
@@ -69,9 +69,9 @@
     }
 
     /**
-     * Says whether the entry keeps away now.
+     * Returns whether the upstream is ejected.
      *
-     * @param now nanoseconds of the timer service
+     * @param now monotonic time in nanoseconds
      * @return true until the ejection ends
      */
     public boolean ejected(long now) {
@@ -79,7 +79,8 @@
     }
 
     /**
-     * Says whether an ejection ended and no attempt has succeeded since; then one attempt at a time is enough.
+     * Returns whether an ejection has ended and no attempt has succeeded since; during this time only one attempt at
+     * a time is sent.
      *
      * @return true until the next success
      */
@@ -88,9 +89,9 @@
     }
 
     /**
-     * Returns the instant of the last success.
+     * Returns the time of the last success.
      *
-     * @return nanoseconds of the timer service, the least value if there was none
+     * @return monotonic time in nanoseconds, {@link Long#MIN_VALUE} if there was none
      */
     public long lastSuccessAt() {
         return lastSuccessAt;
--- a/library/src/main/java/org/copperspindle/routing/UpstreamView.java
+++ b/library/src/main/java/org/copperspindle/routing/UpstreamView.java
@@ -4,7 +4,7 @@
 import org.copperspindle.membership.UpstreamAnnouncement;
 
 /**
- * One upstream as one entry sees it. Owned by the entry's decision ring.
+ * One upstream as seen by one entry. Owned by the entry's decision ring.
  */
 public final class UpstreamView {
 
@@ -34,9 +34,9 @@
     }
 
     /**
-     * Takes a newer announcement.
+     * Updates the announcement.
      *
-     * @param newer the announcement; an older one is ignored
+     * @param newer the announcement; ignored if it is older than the current one
      */
     public void update(UpstreamAnnouncement newer) {
         if (newer.supersedes(announcement)) {
@@ -45,22 +45,22 @@
     }
 
     /**
-     * Says whether the upstream serves a model.
+     * Returns whether the upstream serves a model.
      *
      * @param model the model; empty for plain services
-     * @return true if it may be asked for it
+     * @return true if it serves the model
      */
     public boolean serves(String model) {
         return model.isEmpty() || announcement.models().contains(model);
     }
 
-    /** Notes that this entry dispatched an attempt there. */
+    /** Records that this entry dispatched an attempt to the upstream. */
     public void dispatched() {
         ownInFlight++;
     }
 
     /**
-     * Notes that an attempt of this entry ended there.
+     * Records that an attempt of this entry at the upstream has ended.
      *
      * @param inFlight attempts that the agent reported with the outcome, -1 if the attempt was lost
      */
@@ -72,25 +72,25 @@
     }
 
     /**
-     * Takes a load report.
+     * Processes a load report.
      *
-     * @param inFlight attempts running there, from all entries
+     * @param inFlight running attempts of all entries
      */
     public void reported(int inFlight) {
         othersInFlight = Math.max(0, inFlight - ownInFlight);
     }
 
     /**
-     * Returns the hash of its identity.
+     * Returns the hash of the upstream's id.
      *
-     * @return the same for the same identity at every entry
+     * @return the hash, the same at every entry
      */
     public long idHash() {
         return idHash;
     }
 
     /**
-     * Returns what the entry saw of its successes and failures.
+     * Returns the observed successes and failures.
      *
      * @return its health
      */
@@ -99,9 +99,9 @@
     }
 
     /**
-     * Returns the load that a choice goes by.
+     * Returns the load used for routing.
      *
-     * @return own attempts in flight and those of other entries at the last report
+     * @return own attempts in flight plus those of other entries at the last report
      */
     public int load() {
         return ownInFlight + othersInFlight;
--- a/library/src/main/java/org/copperspindle/routing/package-info.java
+++ b/library/src/main/java/org/copperspindle/routing/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Choice of an upstream for one attempt, and the score that other choices share with it.
+ * Choice of an upstream for one attempt, and the rendezvous score shared with other choices.
  */
 package org.copperspindle.routing;
--- a/library/src/test/java/org/copperspindle/routing/PoolSubsetTest.java
+++ b/library/src/test/java/org/copperspindle/routing/PoolSubsetTest.java
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void entriesTogetherUseEveryUpstreamAlike() {
+    void entriesTogetherUseEveryUpstreamEvenly() {
         announce(400);
         int[] uses = new int[400];
         for (int entry = 0; entry < 200; entry++) {
@@ -45,23 +45,23 @@
                 uses[Integer.parseInt(view.announcement().upstreamId().substring(1))]++;
             }
         }
-        // 200 entries with 64 of 400 each: 32 on the average.
+        // 200 entries with 64 of 400 upstreams each: 32 uses on average.
         assertThat(uses).doesNotContain(0);
         assertThat(java.util.Arrays.stream(uses).max().orElseThrow()).isLessThan(64);
     }
 
-    /** One upstream leaves: an entry that changed most of its subset would lose its warm prefixes everywhere. */
+    /** One upstream leaves: an entry that changed most of its subset would lose its cached prefixes everywhere. */
     @Test
     void oneLeavingChangesAtMostOneOfTheSubset() {
         announce(400);
         PoolSubset subsets = new PoolSubset(fleet, 9);
         Set<String> before = ids(subsets.of("engines", "m"));
-        String gone = before.iterator().next();
+        String removed = before.iterator().next();
 
-        fleet.update(new ControlUpdateMessage(1, 0, "", false, 2, List.of(), List.of(gone.getBytes())));
+        fleet.update(new ControlUpdateMessage(1, 0, "", false, 2, List.of(), List.of(removed.getBytes())));
 
         Set<String> kept = new HashSet<>(ids(subsets.of("engines", "m")));
-        assertThat(kept).hasSize(PoolSubset.SIZE).doesNotContain(gone);
+        assertThat(kept).hasSize(PoolSubset.SIZE).doesNotContain(removed);
         kept.retainAll(before);
         assertThat(kept).hasSize(PoolSubset.SIZE - 1);
     }
--- a/library/src/test/java/org/copperspindle/routing/RoutingPropertiesTest.java
+++ b/library/src/test/java/org/copperspindle/routing/RoutingPropertiesTest.java
@@ -24,7 +24,7 @@
 
     private static final int SLOTS = 16;
 
-    /** First load at which a priority gets no slot of 16 any more: shares of 1.25, 1.1 and 0.95. */
+    /** First load at which a priority gets no slot of 16: shares of 1.25, 1.1 and 0.95. */
     private static final int[] SLOTS_BY_PRIORITY = {20, 18, 16};
 
     private static final PoolSettings POOL =
@@ -34,8 +34,8 @@
     private final RoutingPolicy policy = new AffinityRoutingPolicy();
 
     /**
-     * Every request has the same prefix, so affinity wants them all on one engine. The caller would wait behind all
-     * others there while the rest of the pool is idle.
+     * Every request has the same prefix, so affinity prefers one engine for all of them. Without a bound, callers
+     * would wait there while the rest of the pool is idle.
      */
     @Property(seed = "11", tries = 200)
     void onePrefixNeverLoadsAnUpstreamBeyondTheBound(
@@ -49,11 +49,11 @@
     }
 
     /**
-     * A drain, a missing model or an ejection comes while the pool is under load. An attempt sent there would be
-     * refused, or fail, and cost the caller part of its deadline.
+     * Upstreams drain, lack the model or are ejected while the pool is under load. An attempt sent to one of them
+     * would be refused or fail, and cost the caller part of its deadline.
      */
     @Property(seed = "12", tries = 300)
-    void neverChoosesAnUpstreamThatMustNotBeUsed(@ForAll @LongRange(min = 1, max = 1_000_000) long seed) {
+    void neverChoosesAnUnusableUpstream(@ForAll @LongRange(min = 1, max = 1_000_000) long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         List<UpstreamView> pool = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
@@ -80,8 +80,8 @@
     }
 
     /**
-     * Upstreams of one pool fail in any order, also all of them at once. If the pool emptied itself, callers would be
-     * refused by an entry whose upstreams are merely slow.
+     * Upstreams of a pool fail in any order, or all at once. If all of them were ejected, callers would be refused
+     * although the upstreams are merely slow.
      */
     @Property(seed = "13", tries = 300)
     void ejectionLeavesAtLeastHalfOfThePool(
