--- a/library/src/main/java/org/copperspindle/limits/AdaptiveEntryPolicy.java
+++ b/library/src/main/java/org/copperspindle/limits/AdaptiveEntryPolicy.java
@@ -19,25 +19,25 @@
 import org.copperspindle.routing.UpstreamView;
 
 /**
- * The policy to serve with. Attempts that find no upstream wait at the entry, where priority and fair share can order
- * them, rather than in an upstream's queue, where they can't.
+ * The default policy for production. Attempts without a usable upstream wait at the entry, where priority and fair
+ * share determine their order, rather than in the queue of an upstream, which knows neither.
  */
 final class AdaptiveEntryPolicy implements EntryPolicy {
 
     private static final double NANOS_PER_SECOND = 1e9;
     private static final double MILLIS_PER_SECOND = 1e3;
-    private static final long MIN_REVIEW_NANOS = 50_000_000;
-    private static final double LATE = 1.3;
-    private static final long PROBE_NANOS = 250_000_000;
-    private static final Duration MIN_COME_BACK = Duration.ofSeconds(1);
+    private static final long MIN_ATTEMPT_TIMEOUT_NANOS = 50_000_000;
+    private static final double LATE_FACTOR = 1.3;
+    private static final long PROBE_INTERVAL_NANOS = 250_000_000;
+    private static final Duration MIN_RETRY_AFTER = Duration.ofSeconds(1);
 
     private final FleetView fleet;
     private final PoolSubset subsets;
     private final AdmissionPolicy admission;
     private final RoutingPolicy routing = new AffinityRoutingPolicy();
-    private final Map<String, WaitingLine> lines = new HashMap<>();
+    private final Map<String, PoolQueue> queues = new HashMap<>();
     private final Map<String, ConcurrencyLimit> limits = new HashMap<>();
-    private final LatencyLedger ledger = new LatencyLedger();
+    private final LatencyTracker latencies = new LatencyTracker();
     private final RetryBudget budget = new RetryBudget();
     private final Map<String, Long> probedAt = new HashMap<>();
 
@@ -49,7 +49,7 @@
 
     @Override
     public void configure(Deployment deployment) {
-        // Lines are made on first use, so that a pool that goes keeps its waiters until their deadlines.
+        // Queues are created on first use, so that a removed pool keeps its waiting attempts until their deadlines.
     }
 
     @Override
@@ -59,9 +59,9 @@
 
     @Override
     public Optional<Refusal> tryAdmit(PipelineRequest request, long now) {
-        Optional<Duration> tooLate = foresee(request, now);
-        if (tooLate.isPresent()) {
-            return tooLate.map(retryAfter -> new Refusal(Refusal.DEADLINE_UNREACHABLE, retryAfter));
+        Optional<Duration> predictedMiss = predictRetryAfter(request, now);
+        if (predictedMiss.isPresent()) {
+            return predictedMiss.map(retryAfter -> new Refusal(Refusal.DEADLINE_UNREACHABLE, retryAfter));
         }
         return admission
                 .tryAdmit(request.account(), request.priority(), now)
@@ -71,7 +71,7 @@
     @Override
     public void release(PipelineRequest request) {
         admission.release(request.account(), request.priority());
-        lines.values().forEach(line -> line.remove(request));
+        queues.values().forEach(queue -> queue.remove(request));
     }
 
     @Override
@@ -85,49 +85,51 @@
     @Override
     public void dispatched(PipelineRequest request, StageSettings stage, UpstreamView view, long now) {
         view.dispatched();
-        ledger.tail(request.pipeline(), stage).started();
-        budget.earned(request.account().name());
-        line(stage.pool()).dispatched(request.priority(), now);
+        latencies.latency(request.pipeline(), stage).started();
+        budget.onFirstAttempt(request.account().name());
+        queue(stage.pool()).dispatched(request.priority(), now);
     }
 
     @Override
     public void ended(AttemptReport report, long now) {
         report.view().ended(report.inFlight());
-        judge(report, now);
+        updateHealth(report, now);
         boolean missed =
                 report.end() == AttemptEnd.WITHDRAWN && now >= report.request().deadlineNanos();
         if (missed || report.end() == AttemptEnd.SUCCEEDED) {
             limit(report.stage().pool()).ended(!missed, now);
         }
-        ledger.tail(report.request().pipeline(), report.stage())
+        latencies
+                .latency(report.request().pipeline(), report.stage())
                 .ended(report.request().requestId());
         if (report.end() == AttemptEnd.SUCCEEDED || report.end() == AttemptEnd.WITHDRAWN) {
-            ledger.record(report.request().pipeline(), report.stage(), report.tookNanos(), now);
+            latencies.record(report.request().pipeline(), report.stage(), report.durationNanos(), now);
         }
     }
 
     @Override
     public OptionalLong attemptTimeout(PipelineRequest request, StageSettings stage, long now) {
-        long usual = ledger.quantile(request.pipeline(), stage, Quantile.P50, now);
-        return usual == 0 ? OptionalLong.empty() : OptionalLong.of(Math.max(MIN_REVIEW_NANOS, usual));
+        long median = latencies.quantile(request.pipeline(), stage, Quantile.P50, now);
+        return median == 0 ? OptionalLong.empty() : OptionalLong.of(Math.max(MIN_ATTEMPT_TIMEOUT_NANOS, median));
     }
 
     @Override
     public boolean mayAbandon(
             PipelineRequest request, StageSettings stage, UpstreamView view, long ageNanos, long now) {
-        ledger.tail(request.pipeline(), stage).overdue(request.requestId());
-        long tail = ledger.quantile(request.pipeline(), stage, Quantile.P95, now);
-        boolean late = ageNanos >= Math.max(MIN_REVIEW_NANOS, tail * LATE);
+        latencies.latency(request.pipeline(), stage).overdue(request.requestId());
+        long tail = latencies.quantile(request.pipeline(), stage, Quantile.P95, now);
+        boolean late = ageNanos >= Math.max(MIN_ATTEMPT_TIMEOUT_NANOS, tail * LATE_FACTOR);
         if (late) {
-            // An attempt that is late already says more about a slow pool than those that will end, much later, do.
-            ledger.record(request.pipeline(), stage, ageNanos, now);
+            // An attempt that is already late indicates a slow pool much earlier than completed attempts do.
+            latencies.record(request.pipeline(), stage, ageNanos, now);
         }
         if (!stage.repeatable() || !budget.allows(request.account().name())) {
             return false;
         }
-        boolean away = view.health().ejected(now)
+        boolean isUnavailable = view.health().ejected(now)
                 || fleet.upstream(view.announcement().upstreamId()).isEmpty();
-        return (away || late && silent(view, stage, now - ageNanos)) && timeForAnother(request, stage, now);
+        return (isUnavailable || late && isStalled(view, stage, now - ageNanos))
+                && hasTimeForRetry(request, stage, now);
     }
 
     @Override
@@ -142,37 +144,37 @@
 
     @Override
     public long enqueue(PipelineRequest request, RoutingRequest routingRequest, long now) {
-        line(routingRequest.pool().name()).add(new Waiter(request, routingRequest));
+        queue(routingRequest.pool().name()).add(new Waiter(request, routingRequest));
         int stageIndex = request.pipeline().stages().indexOf(routingRequest.stage());
-        return request.deadlineNanos() - now - ledger.rest(request.pipeline(), stageIndex, Quantile.P10, now);
+        return request.deadlineNanos() - now - latencies.remaining(request.pipeline(), stageIndex, Quantile.P10, now);
     }
 
     @Override
     public Optional<Duration> retryAfterIfUnreachable(PipelineRequest request, int stageIndex, long now) {
-        long needed = ledger.rest(request.pipeline(), stageIndex, Quantile.P10, now);
+        long needed = latencies.remaining(request.pipeline(), stageIndex, Quantile.P10, now);
         return stageIndex == 0 || needed <= request.deadlineNanos() - now
                 ? Optional.empty()
-                : Optional.of(MIN_COME_BACK);
+                : Optional.of(MIN_RETRY_AFTER);
     }
 
     @Override
     public boolean hasWaiting(String pool) {
-        return line(pool).peek().isPresent();
+        return queue(pool).peek().isPresent();
     }
 
     @Override
     public Optional<PipelineRequest> next(String pool, long now) {
-        WaitingLine line = line(pool);
-        Optional<Waiter> head = line.peek();
+        PoolQueue queue = queue(pool);
+        Optional<Waiter> head = queue.peek();
         if (head.isEmpty()
                 || choose(head.get().request(), head.get().routing(), now).isEmpty()) {
             return Optional.empty();
         }
-        line.poll();
+        queue.poll();
         return Optional.of(head.get().request());
     }
 
-    private void judge(AttemptReport report, long now) {
+    private void updateHealth(AttemptReport report, long now) {
         switch (report.end()) {
             case SUCCEEDED:
                 report.view().health().succeeded(now);
@@ -185,8 +187,11 @@
         }
     }
 
-    /** An upstream that ended nothing since an attempt began, while others did, is stalled rather than busy. */
-    private boolean silent(UpstreamView view, StageSettings stage, long since) {
+    /**
+     * Returns whether an upstream is stalled rather than busy: it completed nothing since an attempt began, while
+     * others did.
+     */
+    private boolean isStalled(UpstreamView view, StageSettings stage, long since) {
         if (view.health().lastSuccessAt() >= since) {
             return false;
         }
@@ -194,39 +199,42 @@
                 .anyMatch(other -> other.health().lastSuccessAt() >= since);
     }
 
-    private boolean timeForAnother(PipelineRequest request, StageSettings stage, long now) {
+    private boolean hasTimeForRetry(PipelineRequest request, StageSettings stage, long now) {
         int index = request.pipeline().stages().indexOf(stage);
-        return now + ledger.rest(request.pipeline(), index, Quantile.P50, now) <= request.deadlineNanos();
+        return now + latencies.remaining(request.pipeline(), index, Quantile.P50, now) <= request.deadlineNanos();
     }
 
     /**
-     * Refuses what can't be done in time before it has cost anything. Safeguard: work that is begun and then misses its
-     * deadline takes capacity from work that would not; the symptom is a pool that is busy while nothing is answered.
-     * Enough, because the forecast goes by what is in line now and by durations that the same entry has just seen.
+     * Predicts whether a request will miss its deadline, so that it is refused before it has cost anything. Work that
+     * starts and then misses its deadline takes capacity from work that would not: the pool is busy while nothing is
+     * answered in time. The prediction uses the current queues and the durations that this entry observed recently.
      */
-    private Optional<Duration> foresee(PipelineRequest request, long now) {
-        long left = request.deadlineNanos() - now;
+    private Optional<Duration> predictRetryAfter(PipelineRequest request, long now) {
+        long remainingNanos = request.deadlineNanos() - now;
         Quantile expected = request.priority() == Priority.INTERACTIVE ? Quantile.P10 : Quantile.P50;
-        long work = ledger.rest(request.pipeline(), 0, expected, now);
-        if (work > left && !probe(request, now)) {
-            return Optional.of(MIN_COME_BACK);
+        long work = latencies.remaining(request.pipeline(), 0, expected, now);
+        if (work > remainingNanos && !probe(request, now)) {
+            return Optional.of(MIN_RETRY_AFTER);
         }
         double wait = 0;
         for (StageSettings stage : request.pipeline().stages()) {
-            wait += line(stage.pool()).waitSeconds(request, now);
+            wait += queue(stage.pool()).waitSeconds(request, now);
         }
-        if (work + wait * NANOS_PER_SECOND <= left || wait == 0) {
+        if (work + wait * NANOS_PER_SECOND <= remainingNanos || wait == 0) {
             return Optional.empty();
         }
         Duration retryAfter = Duration.ofMillis((long) (wait * MILLIS_PER_SECOND));
-        return Optional.of(retryAfter.compareTo(MIN_COME_BACK) < 0 ? MIN_COME_BACK : retryAfter);
+        return Optional.of(retryAfter.compareTo(MIN_RETRY_AFTER) < 0 ? MIN_RETRY_AFTER : retryAfter);
     }
 
-    /** Lets one request through now and then, or nothing would be learned once a pool is fast again. */
+    /**
+     * Admits one request at intervals despite a predicted miss; otherwise the entry would never notice that a pool is
+     * fast again.
+     */
     private boolean probe(PipelineRequest request, long now) {
         String pipeline = request.pipeline().name();
         Long last = probedAt.get(pipeline);
-        if (last != null && now - last < PROBE_NANOS) {
+        if (last != null && now - last < PROBE_INTERVAL_NANOS) {
             return false;
         }
         probedAt.put(pipeline, now);
@@ -237,7 +245,7 @@
         return limits.computeIfAbsent(pool, name -> new ConcurrencyLimit());
     }
 
-    private WaitingLine line(String pool) {
-        return lines.computeIfAbsent(pool, name -> new WaitingLine());
+    private PoolQueue queue(String pool) {
+        return queues.computeIfAbsent(pool, name -> new PoolQueue());
     }
 }
--- a/library/src/main/java/org/copperspindle/limits/AdmissionPolicy.java
+++ b/library/src/main/java/org/copperspindle/limits/AdmissionPolicy.java
@@ -7,30 +7,30 @@
 import org.copperspindle.config.Priority;
 
 /**
- * Decides whether a request is taken on.
+ * Decides whether a request is admitted.
  */
 public interface AdmissionPolicy {
 
     /**
-     * Takes this entry's part of every account's rate. A policy that is never told has the whole.
+     * Sets this entry's fraction of every account's rate. The initial fraction is 1.
      *
      * @param fraction from 0 to 1
-     * @param now      nanoseconds of the timer service
+     * @param now      monotonic time in nanoseconds
      */
     void setRateShare(double fraction, long now);
 
     /**
-     * Decides on one request. An admitted request must be given back with {@link #release}.
+     * Admits a request if possible. An admitted request must be returned with {@link #release}.
      *
      * @param account  client account
      * @param priority priority of the request
-     * @param now      nanoseconds of the timer service
-     * @return empty if it is admitted, else when the caller may come back
+     * @param now      monotonic time in nanoseconds
+     * @return empty if it is admitted, else the time after which the caller may retry
      */
     Optional<Duration> tryAdmit(AccountSettings account, Priority priority, long now);
 
     /**
-     * Gives an admitted request back.
+     * Releases an admitted request.
      *
      * @param account  client account
      * @param priority priority of the request
--- a/library/src/main/java/org/copperspindle/limits/AttemptEnd.java
+++ b/library/src/main/java/org/copperspindle/limits/AttemptEnd.java
@@ -1,18 +1,18 @@
 package org.copperspindle.limits;
 
 /**
- * How an attempt ended, as the entry that dispatched it saw it.
+ * Outcome of an attempt as observed by the entry that dispatched it.
  */
 public enum AttemptEnd {
-    /** A whole, successful answer. */
+    /** A complete, successful response. */
     SUCCEEDED,
-    /** A whole answer that says it failed. */
+    /** A complete response that reports a failure. */
     FAILED,
-    /** Refused with proof that it never runs. */
+    /** Refused with proof that it did not and will not run. */
     REFUSED,
-    /** Its connection broke. */
+    /** Its connection was lost. */
     LOST,
-    /** Given up because it took longer than its timeout. */
+    /** Abandoned because it exceeded its timeout. */
     TIMED_OUT,
     /** Withdrawn because its request ended first. */
     WITHDRAWN
--- a/library/src/main/java/org/copperspindle/limits/AttemptReport.java
+++ b/library/src/main/java/org/copperspindle/limits/AttemptReport.java
@@ -5,19 +5,19 @@
 import org.copperspindle.routing.UpstreamView;
 
 /**
- * The end of one attempt, told to the policy.
+ * The end of one attempt, as reported to the policy.
  *
- * @param request   request that it was made for
- * @param stage     stage that it ran
- * @param view      upstream that it was dispatched to
- * @param end       how it ended
- * @param tookNanos time since it was dispatched
- * @param inFlight  attempts that the agent reported with the outcome, -1 if it reported none
+ * @param request       request of the attempt
+ * @param stage         stage that it ran
+ * @param view          upstream that it was dispatched to
+ * @param end           outcome of the attempt
+ * @param durationNanos time since its dispatch in nanoseconds
+ * @param inFlight      attempts that the agent reported with the outcome, -1 if it reported none
  */
 public record AttemptReport(
         PipelineRequest request,
         StageSettings stage,
         UpstreamView view,
         AttemptEnd end,
-        long tookNanos,
+        long durationNanos,
         int inFlight) {}
--- a/library/src/main/java/org/copperspindle/limits/BaselineEntryPolicy.java
+++ b/library/src/main/java/org/copperspindle/limits/BaselineEntryPolicy.java
@@ -14,8 +14,9 @@
 import org.copperspindle.routing.UpstreamView;
 
 /**
- * What plain proxies do: round robin over upstreams that are not draining, a fixed timeout of three quarters of the deadline,
- * retries without a budget, first come first served under fixed rates. Kept to measure other policies against.
+ * Behaves like a plain proxy: round robin over upstreams that are not draining, a fixed timeout of three quarters of
+ * the deadline, retries without a budget, and first come, first served admission under fixed rates. Used as the
+ * reference for measuring other policies.
  */
 final class BaselineEntryPolicy extends FixedRateEntryPolicy {
 
--- a/library/src/main/java/org/copperspindle/limits/DecayingRate.java
+++ b/library/src/main/java/org/copperspindle/limits/DecayingRate.java
@@ -1,7 +1,7 @@
 package org.copperspindle.limits;
 
 /**
- * Events in a second, of which older ones count exponentially less.
+ * Rate of events per second in which older events count exponentially less.
  */
 final class DecayingRate {
 
--- a/library/src/main/java/org/copperspindle/limits/EntryPolicy.java
+++ b/library/src/main/java/org/copperspindle/limits/EntryPolicy.java
@@ -11,37 +11,37 @@
 import org.copperspindle.routing.UpstreamView;
 
 /**
- * Every choice that one entry makes under load and faults: what it takes on, where attempts go, when they are given up
- * and repeated. Owned by the entry's decision ring; touches neither network nor clock.
+ * The decisions of one entry under load and faults: which requests it admits, where attempts are sent, and when they
+ * are abandoned and retried. Owned by the entry's decision ring; uses neither network nor clock.
  */
 public interface EntryPolicy {
 
     /**
-     * Puts a deployment in force.
+     * Applies a deployment.
      *
      * @param deployment the deployment
      */
     void configure(Deployment deployment);
 
     /**
-     * Takes this entry's part of every account's rate. A policy that is never told has the whole.
+     * Sets this entry's fraction of every account's rate. The initial fraction is 1.
      *
      * @param fraction from 0 to 1
-     * @param now      nanoseconds of the timer service
+     * @param now      monotonic time in nanoseconds
      */
     void setRateShare(double fraction, long now);
 
     /**
-     * Decides whether a request is taken on. One that is must be given back with {@link #release}.
+     * Admits a request if possible. An admitted request must be returned with {@link #release}.
      *
      * @param request the request
-     * @param now     nanoseconds of the timer service
-     * @return empty if it is admitted, else why not
+     * @param now     monotonic time in nanoseconds
+     * @return empty if it is admitted, else the refusal
      */
     Optional<Refusal> tryAdmit(PipelineRequest request, long now);
 
     /**
-     * Gives an admitted request back.
+     * Releases an admitted request.
      *
      * @param request the request
      */
@@ -50,66 +50,67 @@
     /**
      * Chooses an upstream for one attempt.
      *
-     * @param request request that it is made for
-     * @param routing what the attempt needs
-     * @param now     nanoseconds of the timer service
-     * @return the choice, empty if none may be used now
+     * @param request request of the attempt
+     * @param routing requirements of the attempt
+     * @param now     monotonic time in nanoseconds
+     * @return the choice, empty if no upstream may be used now
      */
     Optional<UpstreamView> choose(PipelineRequest request, RoutingRequest routing, long now);
 
     /**
-     * Notes that an attempt was dispatched.
+     * Records that an attempt was dispatched.
      *
-     * @param request request that it is made for
-     * @param stage   stage that it runs
-     * @param view    its upstream
-     * @param now     nanoseconds of the timer service
+     * @param request request of the attempt
+     * @param stage   stage of the attempt
+     * @param view    upstream of the attempt
+     * @param now     monotonic time in nanoseconds
      */
     void dispatched(PipelineRequest request, StageSettings stage, UpstreamView view, long now);
 
     /**
-     * Notes that an attempt ended.
+     * Records that an attempt ended.
      *
-     * @param report how
-     * @param now    nanoseconds of the timer service
+     * @param report the outcome
+     * @param now    monotonic time in nanoseconds
      */
     void ended(AttemptReport report, long now);
 
     /**
-     * Returns when an attempt is to be looked at again if it has no outcome by then.
+     * Returns the time after which an attempt without an outcome is reviewed.
      *
-     * @param request request that it is made for
-     * @param stage   stage that it runs
-     * @param now     nanoseconds of the timer service
+     * @param request request of the attempt
+     * @param stage   stage of the attempt
+     * @param now     monotonic time in nanoseconds
      * @return nanoseconds from now, empty if only the request's deadline ends it
      */
     OptionalLong attemptTimeout(PipelineRequest request, StageSettings stage, long now);
 
     /**
-     * Says whether an attempt that reached its timeout is given up. Asked before {@link #mayRetry}, spends nothing.
+     * Returns whether an attempt that reached its timeout is abandoned. Called before {@link #mayRetry} and does not
+     * use the budget.
      *
-     * @param request  request that it is made for
-     * @param stage    stage that it runs
-     * @param view     its upstream
-     * @param ageNanos time since it was dispatched
-     * @param now      nanoseconds of the timer service
-     * @return false if it is better to go on waiting; it is looked at again after half its age
+     * @param request  request of the attempt
+     * @param stage    stage of the attempt
+     * @param view     upstream of the attempt
+     * @param ageNanos time since its dispatch in nanoseconds
+     * @param now      monotonic time in nanoseconds
+     * @return false if waiting is better; the attempt is reviewed again after half its age
      */
     boolean mayAbandon(PipelineRequest request, StageSettings stage, UpstreamView view, long ageNanos, long now);
 
     /**
-     * Asks for one attempt more than the first of its stage.
+     * Takes a retry, that is an attempt beyond the first of its stage, from the budget.
      *
-     * @param request request that it is made for
-     * @return false if the budget is spent
+     * @param request request of the attempt
+     * @return false if the budget is exhausted
      */
     boolean mayRetry(PipelineRequest request);
 
     /**
-     * Says whether an attempt for which no upstream may be used now waits for one.
+     * Returns whether an attempt without a usable upstream waits for one.
      *
-     * @param request request that it is made for
-     * @param stage   stage that it runs
+     * @param request request of the attempt
+     * @param stage   stage of the attempt
      * @return false if the request is refused instead
      */
     default boolean mayWait(PipelineRequest request, StageSettings stage) {
@@ -117,45 +118,45 @@
     }
 
     /**
-     * Puts an attempt in line.
+     * Adds an attempt to the queue of its pool.
      *
-     * @param request request that it is made for
-     * @param routing what it needs
-     * @param now     nanoseconds of the timer service
-     * @return nanoseconds from now after which waiting on can't help any more
+     * @param request request of the attempt
+     * @param routing requirements of the attempt
+     * @param now     monotonic time in nanoseconds
+     * @return nanoseconds from now after which further waiting is useless
      */
     default long enqueue(PipelineRequest request, RoutingRequest routing, long now) {
-        throw new IllegalStateException("this policy has no line");
+        throw new IllegalStateException("this policy has no queue");
     }
 
     /**
-     * Says whether anything is in line for a pool.
+     * Returns whether attempts wait for a pool.
      *
      * @param pool the pool
-     * @return false if nothing waits
+     * @return true if at least one attempt waits
      */
     default boolean hasWaiting(String pool) {
         return false;
     }
 
     /**
-     * Takes the next request out of line for which an upstream of a pool may be used now.
+     * Removes the next request from the queue of a pool if an upstream may be used for it now.
      *
      * @param pool the pool
-     * @param now  nanoseconds of the timer service
-     * @return the request to go on with, empty if none can
+     * @param now  monotonic time in nanoseconds
+     * @return the request to continue, empty if there is none
      */
     default Optional<PipelineRequest> next(String pool, long now) {
         return Optional.empty();
     }
 
     /**
-     * Judges whether the stages of a request from one on can still be done in time.
+     * Checks whether the remaining stages of a request can no longer complete before its deadline.
      *
      * @param request    the request
-     * @param stageIndex next stage, from 0
-     * @param now        nanoseconds of the timer service
-     * @return when the caller may come back, if they can't; empty if they can
+     * @param stageIndex index of the next stage, starting at 0
+     * @param now        monotonic time in nanoseconds
+     * @return the time after which the caller may retry if they cannot; empty if they can
      */
     default Optional<Duration> retryAfterIfUnreachable(PipelineRequest request, int stageIndex, long now) {
         return Optional.empty();
--- a/library/src/main/java/org/copperspindle/limits/EntryPolicyFactory.java
+++ b/library/src/main/java/org/copperspindle/limits/EntryPolicyFactory.java
@@ -3,18 +3,18 @@
 import org.copperspindle.routing.FleetView;
 
 /**
- * Makes the {@link EntryPolicy} of a kind.
+ * Creates the {@link EntryPolicy} of a given kind.
  */
 public final class EntryPolicyFactory {
 
     private EntryPolicyFactory() {}
 
     /**
-     * Makes a policy of the only entry.
+     * Creates the policy of a single entry.
      *
-     * @param kind          which one
-     * @param fleet         upstreams that the entry knows
-     * @param maxInProgress requests in progress at the entry
+     * @param kind          kind of the policy
+     * @param fleet         upstreams known to the entry
+     * @param maxInProgress maximum number of requests in progress at the entry
      * @return the policy
      */
     public static EntryPolicy of(PolicyKind kind, FleetView fleet, int maxInProgress) {
@@ -22,12 +22,12 @@
     }
 
     /**
-     * Makes a policy.
+     * Creates a policy.
      *
-     * @param kind          which one
-     * @param fleet         upstreams that the entry knows
-     * @param maxInProgress requests in progress at the entry
-     * @param entrySeed     differs from entry to entry, so that their parts of large pools differ
+     * @param kind          kind of the policy
+     * @param fleet         upstreams known to the entry
+     * @param maxInProgress maximum number of requests in progress at the entry
+     * @param entrySeed     seed that differs between entries, so that they use different subsets of large pools
      * @return the policy
      */
     public static EntryPolicy of(PolicyKind kind, FleetView fleet, int maxInProgress, long entrySeed) {
--- a/library/src/main/java/org/copperspindle/limits/FairQueue.java
+++ b/library/src/main/java/org/copperspindle/limits/FairQueue.java
@@ -11,52 +11,53 @@
 import org.copperspindle.pipeline.PipelineRequest;
 
 /**
- * Waiting attempts of one priority, served by weighted fair shares of the client accounts (start-time fair queueing),
- * by age within an account.
+ * Waiting attempts of one priority, served by weighted fair shares of the client accounts (start-time fair queueing)
+ * and by age within an account.
  */
 final class FairQueue {
 
-    private final Map<String, AccountLine> lines = new HashMap<>();
-    private final PriorityQueue<AccountLine> active = new PriorityQueue<>(
-            Comparator.comparingDouble((AccountLine line) -> line.startTag).thenComparing(line -> line.account));
+    private final Map<String, AccountQueue> queues = new HashMap<>();
+    private final PriorityQueue<AccountQueue> active = new PriorityQueue<>(
+            Comparator.comparingDouble((AccountQueue queue) -> queue.startTag).thenComparing(queue -> queue.account));
     private double virtualTime;
     private int size;
 
     void add(Waiter waiter) {
         String account = waiter.request().account().name();
-        AccountLine line = lines.computeIfAbsent(account, AccountLine::new);
-        line.weight = waiter.request().account().weight();
-        if (line.waiters.isEmpty()) {
-            // An account that was idle starts level with the others: time without work earns no later priority.
-            line.startTag = Math.max(line.startTag, virtualTime);
-            active.add(line);
+        AccountQueue queue = queues.computeIfAbsent(account, AccountQueue::new);
+        queue.weight = waiter.request().account().weight();
+        if (queue.waiters.isEmpty()) {
+            // An account that was idle starts at the current virtual time: idle time earns no later priority.
+            queue.startTag = Math.max(queue.startTag, virtualTime);
+            active.add(queue);
         }
-        line.waiters.add(waiter);
+        queue.waiters.add(waiter);
         size++;
     }
 
     Optional<Waiter> peek() {
-        return Optional.ofNullable(active.peek()).map(line -> line.waiters.peek());
+        return Optional.ofNullable(active.peek()).map(queue -> queue.waiters.peek());
     }
 
     Waiter poll() {
-        AccountLine line = active.poll();
-        Waiter waiter = line.waiters.poll();
+        AccountQueue queue = active.poll();
+        Waiter waiter = queue.waiters.poll();
         size--;
-        virtualTime = line.startTag;
-        line.startTag += 1 / line.weight;
-        reinsert(line);
+        virtualTime = queue.startTag;
+        queue.startTag += 1 / queue.weight;
+        reinsert(queue);
         return waiter;
     }
 
     boolean remove(PipelineRequest request) {
-        AccountLine line = lines.get(request.account().name());
-        if (line == null || !line.waiters.removeIf(w -> w.request().requestId().equals(request.requestId()))) {
+        AccountQueue queue = queues.get(request.account().name());
+        if (queue == null
+                || !queue.waiters.removeIf(w -> w.request().requestId().equals(request.requestId()))) {
             return false;
         }
         size--;
-        active.remove(line);
-        reinsert(line);
+        active.remove(queue);
+        reinsert(queue);
         return true;
     }
 
@@ -64,36 +65,36 @@
         return size;
     }
 
-    /** Returns how many would be served before a new attempt of an account. */
+    /** Returns the number of attempts that would be served before a new attempt of an account. */
     double aheadOf(String account, double weight) {
-        AccountLine own = lines.get(account);
+        AccountQueue own = queues.get(account);
         double turns = own == null ? 1 : own.waiters.size() + 1;
         double ahead = turns - 1;
-        for (AccountLine line : active) {
-            if (line != own) {
-                ahead += Math.min(line.waiters.size(), turns * line.weight / weight);
+        for (AccountQueue queue : active) {
+            if (queue != own) {
+                ahead += Math.min(queue.waiters.size(), turns * queue.weight / weight);
             }
         }
         return ahead;
     }
 
-    private void reinsert(AccountLine line) {
-        if (line.waiters.isEmpty()) {
-            if (line.startTag <= virtualTime) {
-                lines.remove(line.account);
+    private void reinsert(AccountQueue queue) {
+        if (queue.waiters.isEmpty()) {
+            if (queue.startTag <= virtualTime) {
+                queues.remove(queue.account);
             }
         } else {
-            active.add(line);
+            active.add(queue);
         }
     }
 
-    private static final class AccountLine {
+    private static final class AccountQueue {
         private final String account;
         private final Deque<Waiter> waiters = new ArrayDeque<>();
         private double weight = 1;
         private double startTag;
 
-        private AccountLine(String account) {
+        private AccountQueue(String account) {
             this.account = account;
         }
     }
--- a/library/src/main/java/org/copperspindle/limits/FixedRateEntryPolicy.java
+++ b/library/src/main/java/org/copperspindle/limits/FixedRateEntryPolicy.java
@@ -8,8 +8,7 @@
 import org.copperspindle.routing.UpstreamView;
 
 /**
- * What the policies to measure against have in common: they learn nothing, admit by fixed rates and retry without a
- * budget.
+ * Base class of the reference policies: they do not learn, admit by fixed rates and retry without a budget.
  */
 abstract class FixedRateEntryPolicy implements EntryPolicy {
 
@@ -21,7 +20,7 @@
 
     @Override
     public void configure(Deployment deployment) {
-        // Nothing is learned, so nothing depends on the deployment.
+        // The policy keeps no state that depends on the deployment.
     }
 
     @Override
--- a/library/src/main/java/org/copperspindle/limits/LeastLoadEntryPolicy.java
+++ b/library/src/main/java/org/copperspindle/limits/LeastLoadEntryPolicy.java
@@ -12,7 +12,8 @@
 import org.copperspindle.routing.UpstreamView;
 
 /**
- * The first version: least load within the declared concurrency, fixed rates, attempts end only with the deadline.
+ * Least load within the declared concurrency and fixed rates; attempts end only with the deadline. The first policy,
+ * kept for comparison.
  */
 final class LeastLoadEntryPolicy extends FixedRateEntryPolicy {
 
--- a/library/src/main/java/org/copperspindle/limits/PolicyKind.java
+++ b/library/src/main/java/org/copperspindle/limits/PolicyKind.java
@@ -1,13 +1,13 @@
 package org.copperspindle.limits;
 
 /**
- * Which {@link EntryPolicy} an entry runs.
+ * Kind of {@link EntryPolicy} that an entry uses.
  */
 public enum PolicyKind {
-    /** Learns from what it sees; the one to serve with. */
+    /** Adapts to observed latencies and failures; the default for production. */
     ADAPTIVE,
-    /** Round robin, fixed timeouts, plain retries, first come first served; to measure others against. */
+    /** Round robin, fixed timeouts, plain retries, first come, first served; the reference for measurements. */
     BASELINE,
-    /** Least load and fixed rates, without timeouts of attempts; the first version, kept for comparison. */
+    /** Least load and fixed rates, without attempt timeouts; the first policy, kept for comparison. */
     LEAST_LOAD
 }
--- a/library/src/main/java/org/copperspindle/limits/WaitingLine.java
+++ b/library/src/main/java/org/copperspindle/limits/PoolQueue.java
@@ -6,16 +6,17 @@
 import org.copperspindle.pipeline.PipelineRequest;
 
 /**
- * Attempts that wait for an upstream of one pool: by priority, then by fair share of the client accounts, then by age.
+ * Queue of attempts that wait for an upstream of one pool: by priority, then by fair share of the client accounts,
+ * then by age.
  */
-final class WaitingLine {
+final class PoolQueue {
 
-    private static final double MIN_RATE = 0.1;
+    private static final double MIN_RATE_PER_SECOND = 0.1;
 
     private final FairQueue[] byPriority = new FairQueue[Priority.values().length];
     private final DecayingRate[] rates = new DecayingRate[Priority.values().length];
 
-    WaitingLine() {
+    PoolQueue() {
         for (int i = 0; i < byPriority.length; i++) {
             byPriority[i] = new FairQueue();
             rates[i] = new DecayingRate();
@@ -39,7 +40,7 @@
         queue(request).remove(request);
     }
 
-    /** Takes out what {@link #peek} showed. */
+    /** Removes the attempt that {@link #peek} returned. */
     void poll() {
         for (FairQueue queue : byPriority) {
             if (queue.size() > 0) {
@@ -49,30 +50,31 @@
         }
     }
 
-    /** Counts an attempt that left the line, or did not need it, for an upstream. */
+    /** Records that an attempt was dispatched, from the queue or directly. */
     void dispatched(Priority priority, long now) {
         rates[priority.ordinal()].count(now);
     }
 
-    /** Returns how long a new attempt of a request would wait, in seconds. */
+    /** Returns the expected waiting time of a new attempt of a request, in seconds. */
     double waitSeconds(PipelineRequest request, long now) {
         int own = request.priority().ordinal();
         double higher = 0;
         double total = 0;
-        double left = 0;
+        double remainingRate = 0;
         for (int i = 0; i < byPriority.length; i++) {
             double rate = rates[i].perSecond(now);
             total += rate;
             if (i < own) {
                 higher += byPriority[i].size();
             } else {
-                // What higher priorities take now they will go on taking, so only the rest moves this line.
-                left += rate;
+                // Higher priorities are assumed to keep their current rate, so only the remaining rate serves this
+                // queue.
+                remainingRate += rate;
             }
         }
         double ahead = byPriority[own].aheadOf(
                 request.account().name(), request.account().weight());
-        return higher / Math.max(MIN_RATE, total) + ahead / Math.max(MIN_RATE, left);
+        return higher / Math.max(MIN_RATE_PER_SECOND, total) + ahead / Math.max(MIN_RATE_PER_SECOND, remainingRate);
     }
 
     private FairQueue queue(PipelineRequest request) {
--- a/library/src/main/java/org/copperspindle/limits/Quantile.java
+++ b/library/src/main/java/org/copperspindle/limits/Quantile.java
@@ -1,14 +1,14 @@
 package org.copperspindle.limits;
 
 /**
- * Quantiles of attempt durations that decisions go by.
+ * Quantiles of attempt durations used for decisions.
  */
 enum Quantile {
-    /** Nearly every attempt takes longer. */
+    /** Nine in ten attempts take longer. */
     P10(10),
     /** Half of the attempts take longer. */
     P50(50),
-    /** One in twenty takes longer. */
+    /** One in twenty attempts takes longer. */
     P95(95);
 
     private final double percent;
--- a/library/src/main/java/org/copperspindle/limits/RateAdmissionPolicy.java
+++ b/library/src/main/java/org/copperspindle/limits/RateAdmissionPolicy.java
@@ -9,13 +9,13 @@
 import org.copperspindle.config.Priority;
 
 /**
- * Holds each client account to this entry's part of its rate, with a burst of one second but at least one request, and the whole entry to a number of requests in
- * progress of which lower priorities may use less.
+ * Limits each client account to this entry's fraction of its rate, with a burst of one second's worth but at least
+ * one request, and limits the requests in progress at the entry, of which lower priorities may use a smaller share.
  */
 public final class RateAdmissionPolicy implements AdmissionPolicy {
 
     private static final double NANOS_PER_SECOND = 1e9;
-    private static final Duration NO_SHARE_COME_BACK = Duration.ofSeconds(1);
+    private static final Duration NO_SHARE_RETRY_AFTER = Duration.ofSeconds(1);
     private static final double[] SHARE_BY_PRIORITY = {1.0, 0.9, 0.75};
 
     private final Map<String, Bucket> buckets = new HashMap<>();
@@ -26,7 +26,7 @@
     /**
      * Creates a policy.
      *
-     * @param maxInProgress requests in progress at one entry
+     * @param maxInProgress maximum number of requests in progress at the entry
      */
     public RateAdmissionPolicy(int maxInProgress) {
         this.maxInProgress = maxInProgress;
@@ -37,7 +37,7 @@
         if (newFraction == fraction) {
             return;
         }
-        // What was earned so far was earned at the old rate; a larger share must not count backwards.
+        // Tokens earned so far accrued at the old rate; a larger fraction must not apply retroactively.
         buckets.values().forEach(bucket -> bucket.fill(fraction, now));
         fraction = newFraction;
     }
@@ -48,7 +48,7 @@
             return Optional.of(Duration.ofSeconds(1));
         }
         if (fraction == 0) {
-            return Optional.of(NO_SHARE_COME_BACK);
+            return Optional.of(NO_SHARE_RETRY_AFTER);
         }
         Bucket bucket = buckets.computeIfAbsent(account.name(), name -> new Bucket(now, fraction, account));
         bucket.ratePerSecond = account.ratePerSecond();
--- a/library/src/main/java/org/copperspindle/limits/RateShares.java
+++ b/library/src/main/java/org/copperspindle/limits/RateShares.java
@@ -4,43 +4,43 @@
 import java.util.TreeMap;
 
 /**
- * Parts a client account's rate among the entries that hold a lease: half of it equally, as the floor that an entry may
- * use whatever happens, the rest by what each entry was asked for. Safeguard: were each entry to apply the whole rate, an
- * account would get it once for each entry; the symptom is a flood that passes every limit. Parts whose sum is never above
- * the whole are enough, because an entry that loses its lease falls back to a floor that was never given to another.
+ * Divides a client account's rate among the entries that hold a lease: half of it equally, as a floor that an entry
+ * may always use, the rest in proportion to recent demand. If each entry applied the whole rate, an account would get
+ * it once per entry, and a flood would pass every limit. The sum of the shares never exceeds the whole, because an
+ * entry that loses its lease falls back to a floor that was never assigned to another entry.
  */
 public final class RateShares {
 
-    /** Part of the rate that is given out equally. */
+    /** Share of the rate that is divided equally. */
     public static final double FLOOR_SHARE = 0.5;
 
     private RateShares() {}
 
     /**
-     * Parts a rate.
+     * Divides a rate.
      *
-     * @param ratePerSecond rate of the account over the whole fleet
-     * @param demand        requests in a second that each entry was asked for lately, by entry; negative counts as 0
-     * @return rate by entry, whose sum is not above the whole
+     * @param ratePerSecond rate of the account in the whole fleet, in requests per second
+     * @param demand        recent demand at each entry in requests per second; negative values count as 0
+     * @return rate by entry; the sum does not exceed the whole rate
      */
     public static Map<String, Double> split(double ratePerSecond, Map<String, Double> demand) {
         double floor = floor(ratePerSecond, demand.size());
         double total = demand.values().stream().mapToDouble(d -> Math.max(0, d)).sum();
         double rest = ratePerSecond * (1 - FLOOR_SHARE);
         Map<String, Double> shares = new TreeMap<>();
-        demand.forEach((entry, asked) -> {
-            double part = total == 0 ? 1.0 / demand.size() : Math.max(0, asked) / total;
-            shares.put(entry, floor + rest * part);
+        demand.forEach((entry, entryDemand) -> {
+            double fraction = total == 0 ? 1.0 / demand.size() : Math.max(0, entryDemand) / total;
+            shares.put(entry, floor + rest * fraction);
         });
         return shares;
     }
 
     /**
-     * Returns what an entry may use without a current lease.
+     * Returns the rate that an entry may use without a current lease.
      *
-     * @param ratePerSecond rate of the account over the whole fleet
-     * @param entries       entries that hold or held a lease
-     * @return requests in a second, 0 for no entries
+     * @param ratePerSecond rate of the account in the whole fleet, in requests per second
+     * @param entries       number of entries that hold or held a lease
+     * @return requests per second, 0 without entries
      */
     public static double floor(double ratePerSecond, int entries) {
         return entries == 0 ? 0 : ratePerSecond * FLOOR_SHARE / entries;
--- a/library/src/main/java/org/copperspindle/limits/Refusal.java
+++ b/library/src/main/java/org/copperspindle/limits/Refusal.java
@@ -3,16 +3,16 @@
 import java.time.Duration;
 
 /**
- * A request that is not taken on.
+ * Refusal of a request.
  *
- * @param reason     why, one word for logs and callers
- * @param retryAfter when the caller may come back
+ * @param reason     reason as one word, for logs and callers
+ * @param retryAfter time after which the caller may retry
  */
 public record Refusal(String reason, Duration retryAfter) {
 
     /** The client account or the entry is at its limit. */
     public static final String RATE = "rate";
 
-    /** It can't be done within its deadline. */
+    /** The request cannot complete within its deadline. */
     public static final String DEADLINE_UNREACHABLE = "deadline-unreachable";
 }
--- a/library/src/main/java/org/copperspindle/limits/StageTail.java
+++ b/library/src/main/java/org/copperspindle/limits/StageLatency.java
@@ -6,15 +6,15 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * How long attempts of one stage took lately: two histograms, of which the older one is forgotten every few seconds, so
- * that a change shows within one window and a quiet stage loses what it knew.
+ * Recent durations of the attempts of one stage, in two histograms. The older one is dropped every few seconds, so
+ * that a change becomes visible within one window and an idle stage forgets its durations.
  */
-final class StageTail {
+final class StageLatency {
 
     private static final long UNIT_NANOS = 100_000;
     private static final long HIGHEST_UNITS = 36_000_000;
     private static final long WINDOW_NANOS = 5_000_000_000L;
-    private static final int REFRESH_EVERY = 16;
+    private static final int RECORDS_PER_REFRESH = 16;
     private static final int MIN_SAMPLES = 8;
     private static final double OVERDUE_SHARE = 0.5;
     private static final double MAX_SLOWDOWN = 3;
@@ -25,7 +25,7 @@
     private final long[] quantiles = new long[Quantile.values().length];
     private final Set<String> overdue = new HashSet<>();
     private int running;
-    private long windowEnds;
+    private long windowEndsAt;
     private int sinceRefresh;
 
     void started() {
@@ -37,16 +37,16 @@
         overdue.remove(requestId);
     }
 
-    /** Notes that an attempt runs for longer than half of the attempts did. */
+    /** Records that an attempt runs longer than the median. */
     void overdue(String requestId) {
         overdue.add(requestId);
     }
 
     /**
-     * Returns how much longer attempts take now than the quantiles say. Safeguard: attempts that end slowly are counted
-     * late, when much work was taken on that can't be done; the symptom is a miss for everything that arrives in the
-     * first seconds of a slowdown. The share of running attempts beyond the median shows it as soon as the median has
-     * passed, and one stalled upstream among several does not reach the threshold.
+     * Returns the factor by which attempts currently take longer than the quantiles. Slow attempts are counted late,
+     * after much work was admitted that cannot complete in time: in the first seconds of a slowdown every new request
+     * would miss its deadline. The share of running attempts beyond the median shows the slowdown as soon as the
+     * median has passed, and a single stalled upstream among several does not reach the threshold.
      */
     double slowdown() {
         if (running < MIN_SAMPLES) {
@@ -56,32 +56,32 @@
         return share < OVERDUE_SHARE ? 1 : Math.min(MAX_SLOWDOWN, 1 / Math.max(1e-3, 1 - share));
     }
 
-    /** Takes a duration; of an attempt still running it is a lower bound, which is better than not knowing. */
+    /** Records a duration. For an attempt that is still running it is a lower bound, which is better than no sample. */
     void record(long nanos, long now) {
         rotate(now);
         current.recordValue(Math.min(HIGHEST_UNITS, nanos / UNIT_NANOS));
-        if (++sinceRefresh >= REFRESH_EVERY) {
+        if (++sinceRefresh >= RECORDS_PER_REFRESH) {
             refresh();
         }
     }
 
-    /** Returns a quantile in nanoseconds, 0 while too little is known. */
+    /** Returns a quantile in nanoseconds, 0 while there are too few samples. */
     long quantile(Quantile quantile, long now) {
         rotate(now);
         return (long) (quantiles[quantile.ordinal()] * slowdown());
     }
 
     private void rotate(long now) {
-        if (now < windowEnds) {
+        if (now < windowEndsAt) {
             return;
         }
-        if (current.getTotalCount() >= MIN_SAMPLES || now - windowEnds > WINDOW_NANOS * 5) {
+        if (current.getTotalCount() >= MIN_SAMPLES || now - windowEndsAt > WINDOW_NANOS * 5) {
             Histogram oldest = previous;
             oldest.reset();
             previous = current;
             current = oldest;
         }
-        windowEnds = now + WINDOW_NANOS;
+        windowEndsAt = now + WINDOW_NANOS;
         refresh();
     }
 
--- a/library/src/main/java/org/copperspindle/limits/Waiter.java
+++ b/library/src/main/java/org/copperspindle/limits/Waiter.java
@@ -4,9 +4,9 @@
 import org.copperspindle.routing.RoutingRequest;
 
 /**
- * One attempt in line for an upstream.
+ * An attempt that waits for an upstream.
  *
- * @param request request that it is made for
- * @param routing what it needs
+ * @param request request of the attempt
+ * @param routing requirements of the attempt
  */
 record Waiter(PipelineRequest request, RoutingRequest routing) {}
--- a/library/src/main/java/org/copperspindle/limits/package-info.java
+++ b/library/src/main/java/org/copperspindle/limits/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Priorities, fair shares by client account, concurrency limits and retry budgets.
+ * Admission and retry policies: priorities, fair shares by client account, concurrency limits and retry budgets.
  */
 package org.copperspindle.limits;
--- a/library/src/test/java/org/copperspindle/limits/FairQueueTest.java
+++ b/library/src/test/java/org/copperspindle/limits/FairQueueTest.java
@@ -25,8 +25,9 @@
     private int nextId;
 
     /**
-     * One account floods with ten times the requests of its equals. Were the line served by age, the others would wait
-     * behind the flood and miss their deadlines; here each backlogged account gets the same within a tenth.
+     * One account sends ten times as many requests as others with the same weight. If the queue were served by age,
+     * the others would wait behind the flood and miss their deadlines; instead each backlogged account gets the same
+     * service within a tenth.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
@@ -58,7 +59,7 @@
         assertThat(served.get("large")).isBetween(740, 760);
     }
 
-    /** An account that was idle for long must not be served alone until it has caught up with the others. */
+    /** An account that was idle for a long time must not be served exclusively until it has caught up. */
     @Test
     void idleTimeEarnsNoLaterPriority() {
         FairQueue queue = new FairQueue();
--- a/library/src/test/java/org/copperspindle/limits/RateAdmissionPolicyTest.java
+++ b/library/src/test/java/org/copperspindle/limits/RateAdmissionPolicyTest.java
@@ -20,9 +20,9 @@
     private final RateAdmissionPolicy other = new RateAdmissionPolicy(1_000_000);
 
     /**
-     * A client account floods two entries for two minutes while their parts move from one to the other every second.
-     * Together they admit its rate and their bursts, one second or one request each, and no more: at the old rate an
-     * entry would also count the time before a larger part was its own.
+     * A client account floods two entries for two minutes while its rate is redistributed between them every second.
+     * Together they must admit no more than the rate plus their bursts of one second or one request each. If an entry
+     * credited the time before an increase at its new, larger fraction, it would admit more.
      */
     @ParameterizedTest
     @CsvSource({"100", "10", "1", "0.02"})
@@ -32,9 +32,9 @@
         for (long milli = 0; milli < SECONDS * 1000; milli++) {
             long now = milli * MILLI;
             if (milli % 1000 == 0) {
-                double part = milli / 1000 % 5 / 4.0;
-                one.setRateShare(part, now);
-                other.setRateShare(1 - part, now);
+                double fraction = milli / 1000 % 5 / 4.0;
+                one.setRateShare(fraction, now);
+                other.setRateShare(1 - fraction, now);
             }
             admitted += admit(one, account, now) + admit(other, account, now);
         }
@@ -42,9 +42,9 @@
         assertThat(admitted).isPositive().isLessThanOrEqualTo((long) Math.ceil(rate * SECONDS + bursts));
     }
 
-    /** Under equal parts nothing is lost either: the account gets its rate, here after its bursts are used up. */
+    /** With equal fractions the account gets its full rate, measured after its bursts are used up. */
     @Test
-    void equalPartsAdmitTheRate() {
+    void equalFractionsAdmitTheRate() {
         AccountSettings account = account(10);
         one.setRateShare(0.5, 0);
         other.setRateShare(0.5, 0);
@@ -55,9 +55,9 @@
         assertThat(admitted).isBetween(10L * SECONDS, 10L * SECONDS + 10);
     }
 
-    /** An entry whose part is still with others admits nothing, although its burst was never used. */
+    /** An entry without a fraction of the rate admits nothing, although its burst is unused. */
     @Test
-    void entryWithoutAPartAdmitsNothing() {
+    void entryWithoutAFractionAdmitsNothing() {
         one.setRateShare(0, 0);
 
         assertThat(one.tryAdmit(account(100), Priority.INTERACTIVE, MILLI)).contains(Duration.ofSeconds(1));
--- a/library/src/test/java/org/copperspindle/limits/RateSharesTest.java
+++ b/library/src/test/java/org/copperspindle/limits/RateSharesTest.java
@@ -14,13 +14,13 @@
 
 class RateSharesTest {
 
-    /** Entries are asked for any mix, also for nothing or nonsense. The account must never get more than its rate. */
+    /** Demands are arbitrary, including zero and negative ones. The account must never get more than its rate. */
     @Property(seed = "21", tries = 500)
-    void sumIsNeverAboveTheWholeAndNobodyFallsBelowItsFloor(
+    void sumNeverExceedsTheRateAndNoEntryFallsBelowItsFloor(
             @ForAll @DoubleRange(min = 0.01, max = 1e6) double rate,
             @ForAll @Size(min = 1, max = 50) List<@DoubleRange(min = -10, max = 1e6) Double> demands) {
         Map<String, Double> demand = new HashMap<>();
-        demands.forEach(asked -> demand.put("e" + demand.size(), asked));
+        demands.forEach(entryDemand -> demand.put("e" + demand.size(), entryDemand));
 
         Map<String, Double> shares = RateShares.split(rate, demand);
 
