--- a/library/src/main/java/org/copperspindle/claims/ClaimClient.java
+++ b/library/src/main/java/org/copperspindle/claims/ClaimClient.java
@@ -13,31 +13,31 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * One entry's side of the claims: asks until it is answered, through lost replies and changes of the leader. Asks with
- * the same attempt id each time, so that a claim whose reply was lost is granted again rather than held against its own
- * attempt. Runs on the decision ring.
+ * The claim client of an entry. It repeats each request until it is answered, despite lost replies and leader
+ * changes. Every repetition carries the same attempt id, so that a claim whose reply was lost is granted again
+ * instead of being refused because of its own attempt. Runs on the decision ring.
  */
 public final class ClaimClient {
 
-    private static final long ASK_AGAIN_NANOS = Duration.ofMillis(250).toNanos();
-    private static final long PATIENCE_NANOS = Duration.ofSeconds(3).toNanos();
-    private static final long SETTLE_PATIENCE_NANOS = Duration.ofSeconds(60).toNanos();
+    private static final long RETRY_INTERVAL_NANOS = Duration.ofMillis(250).toNanos();
+    private static final long CLAIM_TIMEOUT_NANOS = Duration.ofSeconds(3).toNanos();
+    private static final long SETTLE_TIMEOUT_NANOS = Duration.ofSeconds(60).toNanos();
     private static final int MAX_ABANDONED = 1024;
     private static final int MAX_SETTLING = 8192;
 
     private final TimerService timers;
     private final Predicate<WireMessage> sender;
-    private final Map<Long, Asking> asking = new HashMap<>();
-    private final Map<String, Long> byAttempt = new HashMap<>();
+    private final Map<Long, PendingClaim> pendingClaims = new HashMap<>();
+    private final Map<String, Long> correlationByAttempt = new HashMap<>();
     private final Map<Long, ClaimRequestMessage> abandoned = new LinkedHashMap<>();
-    private final Map<Long, Settling> settling = new LinkedHashMap<>();
+    private final Map<Long, PendingSettlement> pendingSettlements = new LinkedHashMap<>();
     private long nextCorrelation = 1;
 
     /**
      * Creates a client.
      *
-     * @param timers time
-     * @param sender sends a message to the control leader; false if it was not sent
+     * @param timers timers of the decision ring
+     * @param sender sends a message to the control leader; returns false if it was not sent
      */
     public ClaimClient(TimerService timers, Predicate<WireMessage> sender) {
         this.timers = timers;
@@ -45,164 +45,165 @@
     }
 
     /**
-     * Asks for a claim. After three seconds without a decision, the claim is given up and reported as unavailable.
+     * Requests a claim. After three seconds without a decision the claim is abandoned and reported as unavailable.
      *
-     * @param request the claim, not yet numbered
-     * @param decided told once, unless the claim is abandoned before
+     * @param request the claim, without a correlation number
+     * @param decided called once with the decision, unless the claim is abandoned before
      */
     public void claim(ClaimRequestMessage request, Consumer<ClaimDecision> decided) {
         long correlation = nextCorrelation++;
-        Asking ask = new Asking(request.numbered(correlation), decided, timers.nanoTime() + PATIENCE_NANOS);
-        asking.put(correlation, ask);
-        byAttempt.put(request.attemptId(), correlation);
-        ask(ask);
+        PendingClaim pending =
+                new PendingClaim(request.numbered(correlation), decided, timers.nanoTime() + CLAIM_TIMEOUT_NANOS);
+        pendingClaims.put(correlation, pending);
+        correlationByAttempt.put(request.attemptId(), correlation);
+        send(pending);
     }
 
     /**
-     * Stops asking for a claim: its attempt will never be dispatched. Should it be granted all the same, it is settled
-     * as not run, so that the key is free for a resend.
+     * Abandons a claim whose attempt will never be dispatched. If it is granted nevertheless, it is settled as not
+     * run, so that the key is free for a resend.
      *
-     * @param attemptId the attempt; nothing happens if its claim was decided before
+     * @param attemptId the attempt; ignored if its claim was already decided
      */
     public void abandon(String attemptId) {
-        Long correlation = byAttempt.remove(attemptId);
+        Long correlation = correlationByAttempt.remove(attemptId);
         if (correlation == null) {
             return;
         }
-        Asking ask = asking.remove(correlation);
-        ask.timer.cancel();
-        abandoned.put(correlation, ask.request);
+        PendingClaim pending = pendingClaims.remove(correlation);
+        pending.timer.cancel();
+        abandoned.put(correlation, pending.request);
         if (abandoned.size() > MAX_ABANDONED) {
             abandoned.remove(abandoned.keySet().iterator().next());
         }
     }
 
     /**
-     * Settles a claim and says when that is committed. Given up after a minute: the claim then stays held and the agent
-     * keeps the outcome, which is safe.
+     * Settles a claim and reports when the settlement is committed. Abandoned after a minute: the claim then stays
+     * held and the agent keeps the outcome, which is safe.
      *
-     * @param settle    the settlement, not yet numbered
-     * @param committed run once it is committed
+     * @param settle    the settlement, without a correlation number
+     * @param committed called once it is committed
      */
     public void settle(ClaimSettleMessage settle, Runnable committed) {
         long correlation = nextCorrelation++;
-        Settling item =
-                new Settling(settle.numbered(correlation), committed, timers.nanoTime() + SETTLE_PATIENCE_NANOS);
-        settling.put(correlation, item);
-        if (settling.size() > MAX_SETTLING) {
-            Long oldest = settling.keySet().iterator().next();
-            settling.remove(oldest).timer.cancel();
+        PendingSettlement settlement = new PendingSettlement(
+                settle.numbered(correlation), committed, timers.nanoTime() + SETTLE_TIMEOUT_NANOS);
+        pendingSettlements.put(correlation, settlement);
+        if (pendingSettlements.size() > MAX_SETTLING) {
+            Long oldest = pendingSettlements.keySet().iterator().next();
+            pendingSettlements.remove(oldest).timer.cancel();
         }
-        ask(item);
+        send(settlement);
     }
 
     /**
-     * Takes a reply of the leader.
+     * Processes a reply of the leader.
      *
-     * @param message any message; others than replies to claims and settlements are left alone
+     * @param message any message; only replies to claims and settlements are handled
      */
     public void onReply(WireMessage message) {
         if (message instanceof ClaimReplyMessage reply) {
             onClaimReply(reply);
         } else if (message instanceof ClaimSettledMessage settled) {
-            Settling item = settling.remove(settled.correlation());
-            if (item != null) {
-                item.timer.cancel();
-                item.committed.run();
+            PendingSettlement settlement = pendingSettlements.remove(settled.correlation());
+            if (settlement != null) {
+                settlement.timer.cancel();
+                settlement.committed.run();
             }
         }
     }
 
     /**
-     * Returns the number of claims and settlements that wait for the leader.
+     * Returns the number of claims and settlements waiting for the leader.
      *
      * @return a count
      */
     public int pending() {
-        return asking.size() + settling.size();
+        return pendingClaims.size() + pendingSettlements.size();
     }
 
     private void onClaimReply(ClaimReplyMessage reply) {
-        ClaimRequestMessage late = abandoned.remove(reply.correlation());
-        if (late != null) {
-            releaseAbandoned(late, reply);
+        ClaimRequestMessage abandonedRequest = abandoned.remove(reply.correlation());
+        if (abandonedRequest != null) {
+            releaseAbandoned(abandonedRequest, reply);
             return;
         }
-        Asking ask = asking.get(reply.correlation());
-        if (ask == null || reply.decision().result() == ClaimResult.UNAVAILABLE) {
-            // Late, or a member that has lost the lead: the timer asks again.
+        PendingClaim pending = pendingClaims.get(reply.correlation());
+        if (pending == null || reply.decision().result() == ClaimResult.UNAVAILABLE) {
+            // A late reply, or one of a member that is no longer the leader: the timer repeats the request.
             return;
         }
-        finish(ask, reply.decision());
+        finish(pending, reply.decision());
     }
 
-    private void releaseAbandoned(ClaimRequestMessage late, ClaimReplyMessage reply) {
+    private void releaseAbandoned(ClaimRequestMessage abandonedRequest, ClaimReplyMessage reply) {
         boolean granted = reply.decision().result() == ClaimResult.GRANTED;
-        if (granted && reply.decision().attemptId().equals(late.attemptId())) {
+        if (granted && reply.decision().attemptId().equals(abandonedRequest.attemptId())) {
             settle(
                     new ClaimSettleMessage(
                             0,
-                            late.account(),
-                            late.key(),
-                            late.stage(),
-                            late.attemptId(),
+                            abandonedRequest.account(),
+                            abandonedRequest.key(),
+                            abandonedRequest.stage(),
+                            abandonedRequest.attemptId(),
                             new NotRunVerdict("never-dispatched"),
-                            late.shard()),
+                            abandonedRequest.shard()),
                     () -> {});
         }
     }
 
-    private void finish(Asking ask, ClaimDecision decision) {
-        ask.timer.cancel();
-        asking.remove(ask.request.correlation());
-        byAttempt.remove(ask.request.attemptId());
-        ask.decided.accept(decision);
+    private void finish(PendingClaim pending, ClaimDecision decision) {
+        pending.timer.cancel();
+        pendingClaims.remove(pending.request.correlation());
+        correlationByAttempt.remove(pending.request.attemptId());
+        pending.decided.accept(decision);
     }
 
-    private void ask(Asking ask) {
-        if (timers.nanoTime() >= ask.until) {
-            abandon(ask.request.attemptId());
-            ask.decided.accept(ClaimDecision.of(ClaimResult.UNAVAILABLE));
+    private void send(PendingClaim pending) {
+        if (timers.nanoTime() >= pending.expiresAt) {
+            abandon(pending.request.attemptId());
+            pending.decided.accept(ClaimDecision.of(ClaimResult.UNAVAILABLE));
             return;
         }
-        sender.test(ask.request);
-        ask.timer = timers.schedule(ASK_AGAIN_NANOS, () -> ask(ask));
+        sender.test(pending.request);
+        pending.timer = timers.schedule(RETRY_INTERVAL_NANOS, () -> send(pending));
     }
 
-    private void ask(Settling item) {
-        if (timers.nanoTime() >= item.until) {
-            settling.remove(item.settle.correlation());
+    private void send(PendingSettlement settlement) {
+        if (timers.nanoTime() >= settlement.expiresAt) {
+            pendingSettlements.remove(settlement.settle.correlation());
             return;
         }
-        sender.test(item.settle);
-        item.timer = timers.schedule(ASK_AGAIN_NANOS, () -> ask(item));
+        sender.test(settlement.settle);
+        settlement.timer = timers.schedule(RETRY_INTERVAL_NANOS, () -> send(settlement));
     }
 
-    /** A claim under way. */
-    private static final class Asking {
+    /** A claim without a decision. */
+    private static final class PendingClaim {
         private final ClaimRequestMessage request;
         private final Consumer<ClaimDecision> decided;
-        private final long until;
+        private final long expiresAt;
         private TimerSubscription timer = () -> {};
 
-        private Asking(ClaimRequestMessage request, Consumer<ClaimDecision> decided, long until) {
+        private PendingClaim(ClaimRequestMessage request, Consumer<ClaimDecision> decided, long expiresAt) {
             this.request = request;
             this.decided = decided;
-            this.until = until;
+            this.expiresAt = expiresAt;
         }
     }
 
-    /** A settlement under way. */
-    private static final class Settling {
+    /** A settlement that is not committed yet. */
+    private static final class PendingSettlement {
         private final ClaimSettleMessage settle;
         private final Runnable committed;
-        private final long until;
+        private final long expiresAt;
         private TimerSubscription timer = () -> {};
 
-        private Settling(ClaimSettleMessage settle, Runnable committed, long until) {
+        private PendingSettlement(ClaimSettleMessage settle, Runnable committed, long expiresAt) {
             this.settle = settle;
             this.committed = committed;
-            this.until = until;
+            this.expiresAt = expiresAt;
         }
     }
 }
--- a/library/src/main/java/org/copperspindle/claims/ClaimDecision.java
+++ b/library/src/main/java/org/copperspindle/claims/ClaimDecision.java
@@ -3,12 +3,13 @@
 /**
  * The decision on a claim.
  *
- * @param result           what was decided
- * @param attemptId        attempt that holds the key, empty if none does
+ * @param result           the decision
+ * @param attemptId        attempt that holds the key, empty if there is none
  * @param upstreamId       upstream of that attempt
- * @param agentIncarnation life of that upstream's agent when the claim was made
- * @param clockMicros      reading of that life's clock from before the attempt was dispatched, 0 if none was known
- * @param ended            whether that attempt is settled as having run, or maybe run: it can't be released any more
+ * @param agentIncarnation incarnation of that upstream's agent when the claim was made
+ * @param clockMicros      time on that incarnation's clock before the attempt was dispatched, 0 if unknown
+ * @param ended            whether that attempt is settled as run or possibly run, so that it can no longer be
+ *                         released
  */
 public record ClaimDecision(
         ClaimResult result,
@@ -19,9 +20,9 @@
         boolean ended) {
 
     /**
-     * Makes a decision that names no attempt.
+     * Creates a decision without an attempt.
      *
-     * @param result what was decided
+     * @param result the decision
      * @return the decision
      */
     public static ClaimDecision of(ClaimResult result) {
--- a/library/src/main/java/org/copperspindle/claims/ClaimKey.java
+++ b/library/src/main/java/org/copperspindle/claims/ClaimKey.java
@@ -3,7 +3,7 @@
 import net.openhft.hashing.LongHashFunction;
 
 /**
- * What at most one attempt may hold.
+ * Key of a claim, held by at most one attempt.
  *
  * @param account client account
  * @param key     idempotency key of the request
@@ -14,7 +14,7 @@
     private static final char SEPARATOR = '\u0000';
 
     /**
-     * Returns a hash that is the same on every member and in every release: it stands in snapshots.
+     * Returns a hash that is the same on every member and in every release, since it is stored in snapshots.
      *
      * @return XXH3 of the account, key and stage
      */
--- a/library/src/main/java/org/copperspindle/claims/ClaimReplyMessage.java
+++ b/library/src/main/java/org/copperspindle/claims/ClaimReplyMessage.java
@@ -6,10 +6,10 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * Answer to a {@link ClaimRequestMessage}.
+ * Reply to a {@link ClaimRequestMessage}.
  *
  * @param correlation number of the request
- * @param decision    what was decided
+ * @param decision    the decision
  */
 public record ClaimReplyMessage(long correlation, ClaimDecision decision) implements WireMessage {
 
--- a/library/src/main/java/org/copperspindle/claims/ClaimRequestMessage.java
+++ b/library/src/main/java/org/copperspindle/claims/ClaimRequestMessage.java
@@ -6,20 +6,21 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * Asks for the claim of an unrepeatable stage before it is dispatched. Asking twice for one attempt is harmless: it is
- * granted again if it holds the claim.
+ * Requests the claim of a non-repeatable stage before its dispatch. Repeating the request for one attempt is
+ * harmless: it is granted again if the attempt holds the claim.
  *
- * @param correlation      number that the reply repeats
+ * @param correlation      number repeated in the reply
  * @param account          client account
  * @param key              idempotency key of the request
  * @param stage            pipeline and stage, unique in the deployment
  * @param attemptId        attempt that will run under the claim
  * @param upstreamId       upstream that it will be dispatched to
  * @param bodyDigest       SHA-256 of the request body
- * @param agentIncarnation life of the upstream's agent; only this life can prove that the attempt did not run
- * @param clockMicros      reading of that life's clock, 0 if none is known; with it the agent can tell later whether it
- *                         may have forgotten the attempt
- * @param shard            shard of the key, by {@link ClaimShards}
+ * @param agentIncarnation incarnation of the upstream's agent; only this incarnation can prove that the attempt did
+ *                         not run
+ * @param clockMicros      time on that incarnation's clock, 0 if unknown; it tells the agent later whether it may
+ *                         have forgotten the attempt
+ * @param shard            shard of the key, see {@link ClaimShards}
  */
 public record ClaimRequestMessage(
         long correlation,
@@ -39,10 +40,10 @@
             MessageCodec.of(20, ClaimRequestMessage.class, ClaimRequestMessage::write, ClaimRequestMessage::read);
 
     /**
-     * Numbers this request.
+     * Returns a copy with a correlation number.
      *
-     * @param number number that the reply repeats
-     * @return the same request with that correlation
+     * @param number number repeated in the reply
+     * @return the numbered request
      */
     public ClaimRequestMessage numbered(long number) {
         return new ClaimRequestMessage(
--- a/library/src/main/java/org/copperspindle/claims/ClaimSettleMessage.java
+++ b/library/src/main/java/org/copperspindle/claims/ClaimSettleMessage.java
@@ -8,14 +8,14 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * Tells the claim table how a claimed attempt ended. Sending it twice does nothing the second time.
+ * Reports the outcome of a claimed attempt to the claim table. Repeating it has no further effect.
  *
- * @param correlation number that the answer repeats
+ * @param correlation number repeated in the reply
  * @param account     client account
  * @param key         idempotency key of the request
  * @param stage       pipeline and stage
  * @param attemptId   attempt that ended
- * @param verdict     its verdict; {@code NOT_RUN} frees the key for another attempt
+ * @param verdict     verdict of the attempt; {@code NOT_RUN} frees the key for another attempt
  * @param shard       shard of the key
  */
 public record ClaimSettleMessage(
@@ -27,17 +27,17 @@
             MessageCodec.of(22, ClaimSettleMessage.class, ClaimSettleMessage::write, ClaimSettleMessage::read);
 
     /**
-     * Numbers this settlement.
+     * Returns a copy with a correlation number.
      *
-     * @param number number that the answer repeats
-     * @return the same settlement with that correlation
+     * @param number number repeated in the reply
+     * @return the numbered settlement
      */
     public ClaimSettleMessage numbered(long number) {
         return new ClaimSettleMessage(number, account, key, stage, attemptId, verdict, shard);
     }
 
     /**
-     * Gives this settlement another verdict.
+     * Returns a copy with another verdict.
      *
      * @param other verdict of the attempt
      * @return the same settlement with that verdict
--- a/library/src/main/java/org/copperspindle/claims/ClaimSettledMessage.java
+++ b/library/src/main/java/org/copperspindle/claims/ClaimSettledMessage.java
@@ -6,7 +6,7 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * Says that a {@link ClaimSettleMessage} is committed. Only then may the agent be told to forget the outcome.
+ * Confirms that a {@link ClaimSettleMessage} is committed. Only then may the agent be told to forget the outcome.
  *
  * @param correlation number of the settlement
  */
--- a/library/src/main/java/org/copperspindle/claims/ClaimShard.java
+++ b/library/src/main/java/org/copperspindle/claims/ClaimShard.java
@@ -11,12 +11,12 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * The claims of one shard: what could move to another consensus group as a whole.
+ * The claims of one shard, the unit that could be moved to another consensus group.
  */
 final class ClaimShard {
 
     private final ClaimLimits limits;
-    /** In the order of their time, so that what has run out stands in front. */
+    /** Ordered by the time of the grant, oldest first, so that expired claims are at the front. */
     private final Map<ClaimKey, Claim> claims = new LinkedHashMap<>();
 
     private final RefusedKeys refused;
@@ -45,7 +45,7 @@
             return held.decision(same ? ClaimResult.GRANTED : ClaimResult.HELD);
         }
         if (same) {
-            // Settled as not run by whoever asked the agent. Granting it again would let two attempts hold one key.
+            // Settled as not run after a query to the agent. Granting it again would let two attempts hold one key.
             return ClaimDecision.of(ClaimResult.RELEASED);
         }
         return grant(key, request, now);
@@ -55,8 +55,8 @@
         ClaimKey key = new ClaimKey(settle.account(), settle.key(), settle.stage());
         Claim held = claims.get(key);
         if (held == null || !held.attemptId().equals(settle.attemptId()) || held.state() != State.OPEN) {
-            // Late or doubled. Above all: an attempt that has run is never freed by a later NOT_RUN, as an agent that
-            // forgot an acknowledged outcome would report it.
+            // Late or duplicate. In particular, an attempt that has run is never released by a later NOT_RUN, which
+            // an agent reports if it has forgotten an acknowledged outcome.
             return;
         }
         claims.put(key, held.settled(settle.verdict() instanceof NotRunVerdict ? State.RELEASED : State.ENDED));
@@ -97,7 +97,7 @@
             return ClaimDecision.of(ClaimResult.EXPIRED);
         }
         if (claims.size() >= limits.maxClaims()) {
-            // Refusing new keys is the way to stay within memory: dropping old ones would let them run again.
+            // Refuses new keys to bound the memory: dropping old claims would let them run again.
             return ClaimDecision.of(ClaimResult.FULL);
         }
         return grant(key, request, now);
@@ -125,8 +125,8 @@
             if (entry.getValue().grantedAt() + limits.outcomeTime().toMillis() > now) {
                 return;
             }
-            // A released key never ran and needs no memory. Any other must stay refused; without room for it, the
-            // claim itself stays.
+            // A released key never ran and need not be stored. Any other key must stay refused; if there is no room
+            // for it, the claim itself is kept.
             if (entry.getValue().state() != State.RELEASED
                     && !refused.add(entry.getKey().hash(), now)) {
                 return;
@@ -135,13 +135,13 @@
         }
     }
 
-    /** How far a claim is. */
+    /** State of a claim. Stored by its ordinal. */
     private enum State {
-        /** Granted; not known how it ended. */
+        /** Granted; the outcome is unknown. */
         OPEN,
         /** The attempt ran or may have run. */
         ENDED,
-        /** The attempt is proven not run. */
+        /** The attempt is proven not to have run. */
         RELEASED
     }
 
--- a/library/src/main/java/org/copperspindle/claims/ClaimShards.java
+++ b/library/src/main/java/org/copperspindle/claims/ClaimShards.java
@@ -3,8 +3,8 @@
 import net.openhft.hashing.LongHashFunction;
 
 /**
- * Parts the claims by key, so that they can be spread over several consensus groups. All stages of one key are in one
- * shard. The number of shards is part of the protocol; today one group holds them all.
+ * Partitions the claims by key, so that they can be distributed over several consensus groups. All stages of one key
+ * are in one shard. The number of shards is part of the protocol; currently one group holds all shards.
  */
 public final class ClaimShards {
 
--- a/library/src/main/java/org/copperspindle/claims/ClaimTable.java
+++ b/library/src/main/java/org/copperspindle/claims/ClaimTable.java
@@ -10,12 +10,12 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * Claims of unrepeatable stages; part of the replicated state. Safeguard: without it, a resend through another entry
- * would run an install a second time. Enough, because no entry dispatches before its claim is committed, and one key
- * has at most one attempt that is not proven not run.
+ * Claims of non-repeatable stages; part of the replicated state. Without them, a resend through another entry would
+ * run an installation a second time. No entry dispatches before its claim is committed, and a key has at most one
+ * attempt that is not proven not to have run.
  *
- * <p>Time is the log's: the leader stamps each command by {@link LogClock}, and the table never goes back. No clock of a
- * caller or entry is asked.
+ * <p>The time is that of the log: the leader stamps each command with {@link LogClock}, and the table's time never
+ * decreases. Clocks of callers and entries are not used.
  */
 public final class ClaimTable {
 
@@ -23,7 +23,7 @@
     private final Map<Integer, ClaimShard> shards = new TreeMap<>();
     private long timeMillis;
 
-    /** Creates an empty table with the usual limits. */
+    /** Creates an empty table with the default limits. */
     public ClaimTable() {
         this(ClaimLimits.DEFAULT);
     }
@@ -31,7 +31,7 @@
     /**
      * Creates an empty table.
      *
-     * @param limits its bounds
+     * @param limits limits of the table
      */
     public ClaimTable(ClaimLimits limits) {
         this.limits = limits;
@@ -40,23 +40,23 @@
     /**
      * Decides a claim.
      *
-     * @param request the request
-     * @param atMillis time of the log that the leader stamped it with, in milliseconds
+     * @param request  the request
+     * @param atMillis time of the log with which the leader stamped the request, in milliseconds
      * @return the decision and the attempt that holds the key
      */
     public ClaimDecision claim(ClaimRequestMessage request, long atMillis) {
         timeMillis = Math.max(timeMillis, atMillis);
         int shard = ClaimShards.of(request.account(), request.key());
         if (shard != request.shard()) {
-            // A sender with another number of shards would look for the key in the wrong place and not find it.
+            // A sender with another number of shards would search the key in the wrong shard.
             return ClaimDecision.of(ClaimResult.UNAVAILABLE);
         }
         return shards.computeIfAbsent(shard, s -> new ClaimShard(limits)).claim(request, timeMillis);
     }
 
     /**
-     * Records how a claimed attempt ended. Only {@code NOT_RUN} frees the key, and only if the attempt holds it and
-     * was not settled otherwise before.
+     * Records the outcome of a claimed attempt. Only {@code NOT_RUN} frees the key, and only if the attempt holds it
+     * and was not settled differently before.
      *
      * @param settle the settlement
      */
@@ -77,7 +77,7 @@
     }
 
     /**
-     * Returns the number of claims whose attempt is known.
+     * Returns the number of claims with a stored attempt.
      *
      * @return a count
      */
@@ -86,7 +86,7 @@
     }
 
     /**
-     * Returns the number of keys that are refused.
+     * Returns the number of refused keys.
      *
      * @return a count
      */
@@ -95,9 +95,9 @@
     }
 
     /**
-     * Takes a snapshot of the table.
+     * Creates a snapshot of the table.
      *
-     * @return bytes that {@link #restore} takes; equal tables give equal bytes
+     * @return bytes accepted by {@link #restore}; equal tables give equal bytes
      */
     public byte[] snapshot() {
         try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
@@ -113,10 +113,10 @@
     }
 
     /**
-     * Replaces the whole table.
+     * Replaces the content of the table.
      *
-     * @param snapshot what {@link #snapshot} made; empty for an empty table
-     * @throws UncheckedIOException if the bytes end early
+     * @param snapshot bytes created by {@link #snapshot}; empty for an empty table
+     * @throws UncheckedIOException if the bytes are truncated
      */
     public void restore(byte[] snapshot) {
         shards.clear();
@@ -132,7 +132,7 @@
                 shards.put(number, ClaimShard.read(in, limits));
             }
         } catch (IOException e) {
-            throw new UncheckedIOException("claim snapshot ends early", e);
+            throw new UncheckedIOException("claim snapshot is truncated", e);
         }
     }
 }
--- a/library/src/main/java/org/copperspindle/claims/LogClock.java
+++ b/library/src/main/java/org/copperspindle/claims/LogClock.java
@@ -3,9 +3,10 @@
 import org.copperspindle.time.TimerService;
 
 /**
- * Time of the log: the time that leaders have spent leading, counted by each on its own monotonic clock from where the
- * log stood. Safeguard: with wall clocks, a leader whose clock jumps ahead would end all claims at once and let old keys
- * run again. Enough, because this time can only lag behind real time: it stands still without a leader.
+ * Time of the log: the total time that leaders have been leading, measured by each leader on its own monotonic clock
+ * from the time of the last applied command. With wall clocks, a leader whose clock jumps ahead would expire all
+ * claims at once and let old keys run again. This time can only lag behind real time, because it stops while there is
+ * no leader.
  */
 public final class LogClock {
 
@@ -19,18 +20,18 @@
     /**
      * Creates a clock.
      *
-     * @param timers this member's monotonic time
+     * @param timers monotonic time of this member
      */
     public LogClock(TimerService timers) {
         this.timers = timers;
     }
 
     /**
-     * Stamps a command of the leader.
+     * Returns the time stamp of the leader's next command.
      *
-     * @param currentTerm term that this member leads in
-     * @param logMillis   time of the log's newest applied command
-     * @return time for the next command, in milliseconds; within a term it never goes back
+     * @param currentTerm term in which this member leads
+     * @param logMillis   time of the newest applied command of the log
+     * @return time of the next command in milliseconds; never decreases within a term
      */
     public long stamp(long currentTerm, long logMillis) {
         if (currentTerm != term) {
--- a/library/src/main/java/org/copperspindle/claims/RefusedKeys.java
+++ b/library/src/main/java/org/copperspindle/claims/RefusedKeys.java
@@ -10,11 +10,11 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * Keys whose claims have run out of time, as hashes only. Safeguard: a key resent late must not run again; enough, since
- * a hash that meets another by chance only refuses a request that could have run, never runs one that must not.
+ * Hashes of keys whose claims have expired, so that a late resend does not run again. A hash collision only refuses a
+ * request that could have run; it never runs one that must not.
  *
- * <p>Hashes are gathered in spans of time and forgotten span by span. Only the newest span grows; the others are sorted
- * arrays, eight bytes a key.
+ * <p>Hashes are grouped into time spans and removed span by span. Only the newest span grows; the others are sorted
+ * arrays with eight bytes per key.
  */
 final class RefusedKeys {
 
@@ -38,7 +38,7 @@
         return open.containsKey(hash) || closed.stream().anyMatch(span -> Arrays.binarySearch(span.hashes, hash) >= 0);
     }
 
-    /** Returns false, and adds nothing, if there is no room. */
+    /** Adds a hash; returns false without adding it if there is no room. */
     boolean add(long hash, long now) {
         if (size >= limits.maxRefused()) {
             return false;
@@ -54,11 +54,11 @@
     }
 
     void expire(long now) {
-        long life = spanMillis + limits.refusalTime().toMillis();
-        while (!closed.isEmpty() && closed.peekFirst().startedAt + life <= now) {
+        long lifetimeMillis = spanMillis + limits.refusalTime().toMillis();
+        while (!closed.isEmpty() && closed.peekFirst().startedAt + lifetimeMillis <= now) {
             size -= closed.pollFirst().hashes.length;
         }
-        if (openedAt + life <= now) {
+        if (openedAt + lifetimeMillis <= now) {
             size -= open.size();
             open = new LongObjectHashMap<>(FIRST_CAPACITY, LOAD_FACTOR);
         }
@@ -120,6 +120,6 @@
         }
     }
 
-    /** The hashes of one span of time, sorted. */
+    /** The sorted hashes of one time span. */
     private record Span(long startedAt, long[] hashes) {}
 }
--- a/library/src/main/java/org/copperspindle/claims/package-info.java
+++ b/library/src/main/java/org/copperspindle/claims/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Claims of unrepeatable requests, committed before dispatch so that a request key runs at most once.
+ * Claims of non-repeatable requests, committed before dispatch so that a request key runs at most once.
  */
 package org.copperspindle.claims;
--- a/library/src/test/java/org/copperspindle/claims/ClaimClientTest.java
+++ b/library/src/test/java/org/copperspindle/claims/ClaimClientTest.java
@@ -19,11 +19,11 @@
     private final ClaimClient client = new ClaimClient(timers, sent::add);
 
     /**
-     * The leader commits the claim and dies before it replies. The entry asks again, of the new leader, with the same
-     * attempt and number: the claim counts as one, and a second reply changes nothing.
+     * The leader commits a claim and fails before it replies. The entry repeats the request to the new leader with
+     * the same attempt and number: the claim counts once, and a second reply has no effect.
      */
     @Test
-    void lostReplyIsAskedForWithTheSameAttempt() {
+    void requestIsRepeatedWithTheSameAttempt() {
         client.claim(request(), decided::add);
         timers.advance(Duration.ofMillis(300).toNanos());
         assertThat(sent).hasSize(2);
@@ -38,11 +38,11 @@
     }
 
     /**
-     * Nobody replies, so the request is answered as not run. The claim may be committed all the same: when its grant
-     * comes late it is given back, since otherwise the key would stay held by an attempt that never runs.
+     * There is no reply, so the request is answered as not run. The claim may be committed nevertheless: a late grant
+     * must be released, otherwise the key would stay held by an attempt that never runs.
      */
     @Test
-    void lateGrantOfAnAbandonedClaimIsGivenBack() {
+    void lateGrantOfAnAbandonedClaimIsReleased() {
         client.claim(request(), decided::add);
         timers.advance(Duration.ofSeconds(4).toNanos());
         assertThat(decided).extracting(ClaimDecision::result).containsExactly(ClaimResult.UNAVAILABLE);
@@ -55,7 +55,7 @@
         assertThat(settle.verdict().label()).isEqualTo("NOT_RUN");
     }
 
-    /** A settlement is sent until it is committed, and only then may the agent forget the outcome. */
+    /** A settlement is repeated until it is committed; only then may the agent forget the outcome. */
     @Test
     void settlementIsRepeatedUntilCommitted() {
         List<String> committed = new ArrayList<>();
--- a/library/src/test/java/org/copperspindle/claims/ClaimTableTest.java
+++ b/library/src/test/java/org/copperspindle/claims/ClaimTableTest.java
@@ -20,8 +20,8 @@
     private final ClaimTable table = new ClaimTable(LIMITS);
 
     /**
-     * An attempt holds the key; it is settled, and another entry claims with its own attempt. Only a proof that the first
-     * did not run frees the key.
+     * An attempt that holds the key is settled, and another entry claims the key with its own attempt. Only proof
+     * that the first attempt did not run frees the key.
      */
     @ParameterizedTest
     @CsvSource({"NOT_RUN, GRANTED, b", "RAN, HELD, a", "MAY_HAVE_RUN, HELD, a"})
@@ -36,11 +36,11 @@
     }
 
     /**
-     * An install ran and was settled and acknowledged; its agent forgot it and tells a resend that it never arrived. The
-     * late NOT_RUN must not free the key, or the install would run again.
+     * An installation ran, was settled and acknowledged; its agent forgot it and reports for a resend that it never
+     * arrived. The late NOT_RUN must not free the key, or the installation would run again.
      */
     @Test
-    void settledRunIsNotFreedByALaterNotRun() {
+    void settledRunIsNotReleasedByALaterNotRun() {
         claim("k", "a", 1, 0);
         settle("k", "a", "RAN");
         settle("k", "a", "NOT_RUN");
@@ -49,8 +49,8 @@
     }
 
     /**
-     * The reply to a claim is lost; before the entry asks again, another entry had the attempt refused and settled it. The
-     * attempt must not be granted a second time beside the other entry's.
+     * The reply to a claim is lost; before the entry repeats it, another entry had the attempt refused and settled
+     * it. The attempt must not be granted again beside the other entry's attempt.
      */
     @Test
     void releasedAttemptIsNotGrantedAgain() {
@@ -71,9 +71,9 @@
         assertThat(claim("k", "b", 2, 1).result()).isEqualTo(ClaimResult.CONFLICT);
     }
 
-    /** A key is granted, refused once its claim has ended, and forgotten only after the whole declared time. */
+    /** A key is granted, refused once its claim has expired, and removed only after the whole configured time. */
     @Test
-    void oldKeyIsRefusedUntilTheDeclaredTimeIsOver() {
+    void expiredKeyIsRefusedForTheConfiguredTime() {
         claim("k", "a", 1, 0);
         assertThat(claim("k", "b", 1, 9_999).result()).isEqualTo(ClaimResult.HELD);
         assertThat(claim("k", "b", 1, 10_000).result()).isEqualTo(ClaimResult.EXPIRED);
@@ -83,9 +83,9 @@
         assertThat(table.refusedKeys()).isZero();
     }
 
-    /** A key proven not run is worth no memory: it may run for the first time whenever it comes back. */
+    /** A key that is proven not to have run is not stored: it may run whenever it is sent again. */
     @Test
-    void releasedKeyIsForgottenWithItsClaim() {
+    void releasedKeyIsRemovedWithItsClaim() {
         claim("k", "a", 1, 0);
         settle("k", "a", "NOT_RUN");
 
@@ -93,11 +93,11 @@
     }
 
     /**
-     * The table of a shard is full. Dropping an old claim would let it run twice, so new keys are refused until the old
-     * ones have run out; where there is no room to remember the key, its claim stays.
+     * The table of a shard is full. Dropping an old claim would let it run twice, so new keys are refused until old
+     * ones expire; if there is no room to store the refused key, its claim is kept.
      */
     @Test
-    void fullTableRefusesNewKeysAndForgetsNone() {
+    void fullTableRefusesNewKeysAndDropsNone() {
         String[] keys = keysOfOneShard(8);
         for (int i = 0; i < 2; i++) {
             assertThat(claim(keys[i], "a", 1, 0).result()).isEqualTo(ClaimResult.GRANTED);
@@ -112,9 +112,9 @@
         assertThat(claim(keys[0], "b", 1, 60_000).result()).isEqualTo(ClaimResult.EXPIRED);
     }
 
-    /** A stamp of a leader that lags behind does not turn the table's time back. */
+    /** A lower time stamp of a new leader must not decrease the table's time. */
     @Test
-    void timeNeverGoesBack() {
+    void timeNeverDecreases() {
         claim("k", "a", 1, 10_000);
         claim("l", "a", 1, 5_000);
 
@@ -131,7 +131,7 @@
     }
 
     @Test
-    void snapshotCarriesEverything() {
+    void snapshotContainsTheWholeState() {
         claim("k", "a", 1, 0);
         settle("k", "a", "RAN");
         claim("l", "b", 1, 11_000);
@@ -145,24 +145,24 @@
     }
 
     /**
-     * The leader changes to a VM whose monotonic clock reads far more or far less. The log's time goes on from where it
-     * stood: it neither jumps, which would end all claims, nor goes back.
+     * The new leader's VM has a monotonic clock with a very different reading. The log's time continues from its last
+     * value: a jump would expire all claims, and it must not decrease.
      */
     @Test
-    void logTimeGoesOnThroughAChangeOfLeader() {
+    void logTimeContinuesAfterALeaderChange() {
         VirtualTimerService first = new VirtualTimerService();
         LogClock leader = new LogClock(first);
         assertThat(leader.stamp(1, 500)).isEqualTo(500);
         first.advance(Duration.ofSeconds(2).toNanos());
-        long stood = leader.stamp(1, 500);
-        assertThat(stood).isEqualTo(2_500);
+        long lastStamp = leader.stamp(1, 500);
+        assertThat(lastStamp).isEqualTo(2_500);
 
         VirtualTimerService second = new VirtualTimerService();
         second.advance(Duration.ofDays(90).toNanos());
         LogClock next = new LogClock(second);
-        assertThat(next.stamp(2, stood)).isEqualTo(2_500);
+        assertThat(next.stamp(2, lastStamp)).isEqualTo(2_500);
         second.advance(Duration.ofMillis(10).toNanos());
-        assertThat(next.stamp(2, stood)).isEqualTo(2_510);
+        assertThat(next.stamp(2, lastStamp)).isEqualTo(2_510);
     }
 
     private ClaimDecision claim(String key, String attempt, int body, long at) {
