--- a/library/src/main/java/org/copperspindle/claims/ClaimTable.java
+++ b/library/src/main/java/org/copperspindle/claims/ClaimTable.java
@@ -108,7 +108,7 @@
             }
             return out.toByteArray();
         } catch (IOException e) {
-            throw new UncheckedIOException("a buffer can always be written", e);
+            throw new UncheckedIOException("unexpected failure while writing to memory", e);
         }
     }
 
--- a/library/src/main/java/org/copperspindle/mesh/IsolationDetector.java
+++ b/library/src/main/java/org/copperspindle/mesh/IsolationDetector.java
@@ -20,7 +20,7 @@
     private static final double MIN_VISIBLE_SHARE = 1.0 / 3;
 
     /** How long a lost node counts; after that it is not expected to return soon. */
-    private static final long RECENT_NANOS = Duration.ofSeconds(8).toNanos();
+    private static final long LOSS_RETENTION_NANOS = Duration.ofSeconds(8).toNanos();
 
     private final IntSupplier connected;
     private final TimerService timers;
@@ -44,7 +44,7 @@
      */
     public boolean isIsolated() {
         long now = timers.nanoTime();
-        lostAt.values().removeIf(at -> now - at > RECENT_NANOS);
+        lostAt.values().removeIf(at -> now - at > LOSS_RETENTION_NANOS);
         int visible = 1 + connected.getAsInt();
         return visible < MIN_VISIBLE_SHARE * (visible + lostAt.size());
     }
--- a/library/src/main/java/org/copperspindle/mesh/MeshListener.java
+++ b/library/src/main/java/org/copperspindle/mesh/MeshListener.java
@@ -8,7 +8,7 @@
 public interface MeshListener {
 
     /**
-     * Called when a node is connected and has introduced itself.
+     * Called when a node is connected and has sent its hello.
      *
      * @param node the node
      */
--- a/library/src/main/java/org/copperspindle/mesh/MeshNode.java
+++ b/library/src/main/java/org/copperspindle/mesh/MeshNode.java
@@ -54,7 +54,7 @@
     /**
      * Returns the incarnation of the node's process.
      *
-     * @return larger for each restart
+     * @return the incarnation, larger after each restart
      */
     public long incarnation() {
         return incarnation;
--- a/library/src/main/java/org/copperspindle/mesh/NodeMesh.java
+++ b/library/src/main/java/org/copperspindle/mesh/NodeMesh.java
@@ -30,7 +30,7 @@
     private static final Logger LOGGER = LogManager.getLogger(NodeMesh.class);
 
     /** How long an unreachable address that no connected node reports is still dialled, in nanoseconds. */
-    private static final long FORGET_NANOS = 20_000_000_000L;
+    private static final long UNREACHABLE_EXPIRY_NANOS = 20_000_000_000L;
 
     /**
      * Delay before lost nodes are announced, in nanoseconds. Nodes that are lost together disconnect within about
@@ -46,7 +46,7 @@
     private final DeferredTask lossAnnouncement;
     private final Map<String, MeshNode> nodes = new LinkedHashMap<>();
     private final Map<String, Long> dialTargets = new LinkedHashMap<>();
-    private final Set<String> dialling = new HashSet<>();
+    private final Set<String> pendingDials = new HashSet<>();
     private final List<MeshListener> listeners = new ArrayList<>();
     private Set<String> seeds = Set.of();
 
@@ -247,7 +247,7 @@
      */
     private void dialLeader(String leader) {
         boolean reached = leader.isEmpty() || leader.equals(self) || isConnected(leader);
-        if (!reached && !dialling.contains(leader)) {
+        if (!reached && !pendingDials.contains(leader)) {
             addDialTarget(leader);
             dial(leader);
         }
@@ -267,10 +267,12 @@
 
     private void dialMissing() {
         long now = timers.nanoTime();
-        dialTargets.entrySet().removeIf(each -> now - each.getValue() > FORGET_NANOS && !isReported(each.getKey()));
+        dialTargets
+                .entrySet()
+                .removeIf(each -> now - each.getValue() > UNREACHABLE_EXPIRY_NANOS && !isReported(each.getKey()));
         Set<String> missing = new HashSet<>(seeds);
         missing.addAll(dialTargets.keySet());
-        missing.removeAll(dialling);
+        missing.removeAll(pendingDials);
         missing.removeIf(this::isConnected);
         missing.forEach(this::dial);
     }
@@ -290,9 +292,9 @@
     }
 
     private void dial(String address) {
-        dialling.add(address);
+        pendingDials.add(address);
         transport
                 .connect(NumericAddress.parse(address), this)
-                .whenComplete((Channel channel, Throwable failure) -> dialling.remove(address));
+                .whenComplete((Channel channel, Throwable failure) -> pendingDials.remove(address));
     }
 }
--- a/library/src/main/java/org/copperspindle/quarantine/TerminatedUpstreamDetector.java
+++ b/library/src/main/java/org/copperspindle/quarantine/TerminatedUpstreamDetector.java
@@ -68,18 +68,18 @@
             onChecked.run();
             return;
         }
-        PendingCheck pending = pendingChecks.computeIfAbsent(incarnation, l -> new PendingCheck(upstream));
+        PendingCheck pending = pendingChecks.computeIfAbsent(incarnation, known -> new PendingCheck(upstream));
         pending.runs.add(run);
         boolean isReplaced = directory
                 .findByAddress(upstream.address())
-                .filter(holder -> !UpstreamIncarnation.of(holder).equals(incarnation))
+                .filter(owner -> !UpstreamIncarnation.of(owner).equals(incarnation))
                 .isPresent();
         if (isReplaced) {
             reportTerminated(incarnation, "next-life");
             onChecked.run();
             return;
         }
-        pending.waiting.add(onChecked);
+        pending.callbacks.add(onChecked);
         if (!pending.checking) {
             pending.checking = true;
             listenCheck.check(upstream.address(), state -> checked(incarnation, pending, state));
@@ -94,16 +94,17 @@
             return;
         }
         Optional<UpstreamIncarnation> replaced = pendingChecks.keySet().stream()
-                .filter(l -> !l.equals(incarnation)
-                        && (pendingChecks.get(l).isAt(announced.address()) || l.id().equals(announced.id())))
+                .filter(known -> !known.equals(incarnation)
+                        && (pendingChecks.get(known).isAt(announced.address())
+                                || known.id().equals(announced.id())))
                 .findFirst();
         replaced.ifPresent(previous -> reportTerminated(previous, "next-life"));
     }
 
     private void checked(UpstreamIncarnation incarnation, PendingCheck pending, ListenState state) {
         pending.checking = false;
-        List<Runnable> waiting = List.copyOf(pending.waiting);
-        pending.waiting.clear();
+        List<Runnable> callbacks = List.copyOf(pending.callbacks);
+        pending.callbacks.clear();
         if (pendingChecks.get(incarnation) == pending) {
             if (state == ListenState.REFUSES) {
                 reportTerminated(incarnation, "refuses-connections");
@@ -111,7 +112,7 @@
                 timers.schedule(RESTART_WINDOW_NANOS, () -> pendingChecks.remove(incarnation, pending));
             }
         }
-        waiting.forEach(Runnable::run);
+        callbacks.forEach(Runnable::run);
     }
 
     private void reportTerminated(UpstreamIncarnation incarnation, String evidence) {
@@ -143,7 +144,7 @@
     private static final class PendingCheck {
         private final UpstreamRecord upstream;
         private final List<UpstreamRun> runs = new ArrayList<>();
-        private final List<Runnable> waiting = new ArrayList<>();
+        private final List<Runnable> callbacks = new ArrayList<>();
         private boolean checking;
 
         private PendingCheck(UpstreamRecord upstream) {
--- a/library/src/main/java/org/copperspindle/version/VersionExchange.java
+++ b/library/src/main/java/org/copperspindle/version/VersionExchange.java
@@ -25,7 +25,7 @@
     private final NodeMesh mesh;
     private final TimerService timers;
     private final Executor network;
-    private final Map<String, Sent> sent = new HashMap<>();
+    private final Map<String, SentVersion> sent = new HashMap<>();
     private VersionHolder holder;
     private Optional<VersionMember> member = Optional.empty();
     private MemberStatus status = MemberStatus.NONE;
@@ -218,15 +218,15 @@
 
     private void push(MeshNode node, long held, VersionMessage newVersion) {
         long now = timers.nanoTime();
-        Sent lastSent = sent.get(node.address());
+        SentVersion lastSent = sent.get(node.address());
         boolean isInFlight =
                 lastSent != null && lastSent.version() >= newVersion.version() && now - lastSent.at() < RESEND_NANOS;
         if (held >= newVersion.version() || isInFlight) {
             return;
         }
-        sent.put(node.address(), new Sent(newVersion.version(), now));
+        sent.put(node.address(), new SentVersion(newVersion.version(), now));
         node.send(newVersion);
     }
 
-    private record Sent(long version, long at) {}
+    private record SentVersion(long version, long at) {}
 }
--- a/library/src/main/java/org/copperspindle/version/VersionHolder.java
+++ b/library/src/main/java/org/copperspindle/version/VersionHolder.java
@@ -236,11 +236,11 @@
     }
 
     private void extendIfComplete() {
-        Optional<RequiredState> complete = required.filter(
-                received -> received.version() <= version() && received.revision() <= evacuations.revision());
-        complete.ifPresent(received -> {
+        Optional<RequiredState> complete =
+                required.filter(state -> state.version() <= version() && state.revision() <= evacuations.revision());
+        complete.ifPresent(state -> {
             required = Optional.empty();
-            extend(received.sentAt());
+            extend(state.sentAt());
         });
     }
 
--- a/library/src/main/java/org/copperspindle/version/VersionMember.java
+++ b/library/src/main/java/org/copperspindle/version/VersionMember.java
@@ -59,7 +59,7 @@
     }
 
     /**
-     * Opens the member and starts it.
+     * Opens and starts the member.
      *
      * @param ring      ring that owns the log
      * @param timers    timers of that ring
--- a/library/src/main/java/org/copperspindle/version/VersionResult.java
+++ b/library/src/main/java/org/copperspindle/version/VersionResult.java
@@ -9,7 +9,7 @@
      * The operation is committed; the state includes everything that was acknowledged before the operation was
      * submitted.
      *
-     * @param held all that was accepted
+     * @param held the accepted state
      */
     record Recorded(VersionSnapshotMessage held) implements VersionResult {}
 
