--- a/library/src/main/java/org/copperspindle/route/BatchLimits.java
+++ b/library/src/main/java/org/copperspindle/route/BatchLimits.java
@@ -1,16 +1,16 @@
 package org.copperspindle.route;
 
 /**
- * What one upstream of a stage pool takes.
+ * Limits of one upstream of a stage pool.
  *
  * @param concurrentCalls      calls in progress at once
- * @param maxQueuedCalls       calls that may wait
- * @param maxPieces            most pieces of one call
+ * @param maxQueuedCalls       calls that may wait at the upstream
+ * @param maxPieces            maximum pieces of one call
  * @param callNanos            time of a call without its pieces
  * @param pieceNanos           approximate time of one piece
  * @param resultBytes          memory for results
- * @param resultRetentionNanos how long a result is kept after its call unless it is freed
- * @param linkBytesPerSecond   over which results are fetched; 0 if not known
+ * @param resultRetentionNanos how long a result is kept after its call unless it is released
+ * @param linkBytesPerSecond   bandwidth of the link over which results are fetched; 0 if unknown
  */
 public record BatchLimits(
         int concurrentCalls,
@@ -25,7 +25,7 @@
     /**
      * Returns how long a call takes.
      *
-     * @param pieces its pieces
+     * @param pieces number of its pieces
      * @return nanoseconds, approximately
      */
     public long expectedNanos(int pieces) {
@@ -33,7 +33,7 @@
     }
 
     /**
-     * Returns how long a call takes that has as many pieces as it may.
+     * Returns how long a call with the maximum number of pieces takes.
      *
      * @return nanoseconds, approximately
      */
--- a/library/src/main/java/org/copperspindle/route/Route.java
+++ b/library/src/main/java/org/copperspindle/route/Route.java
@@ -4,21 +4,21 @@
 import java.util.List;
 
 /**
- * One route.
+ * A route: which requests belong to it, and how they are served.
  *
  * @param name        its name
- * @param host        host that its requests name
- * @param pathPrefix  start of the path; begins and ends with a slash
- * @param kind        what may be repeated
- * @param timeout     longest time that a request is kept waiting
- * @param objective   time in which an answer is worth most: to the whole answer, of a stream to its first event
+ * @param host        host named by its requests
+ * @param pathPrefix  prefix of the path; begins and ends with a slash
+ * @param kind        whether requests may be repeated
+ * @param timeout     maximum time that a request waits
+ * @param objective   latency objective: time to the whole response, of a stream to its first event
  * @param priority    rank, 0 first
  * @param pools       pools that serve it
- * @param maxAttempts most upstreams that one request is sent to
- * @param stages      work done before the request runs, by number
+ * @param maxAttempts maximum number of upstreams that one request is sent to
+ * @param stages      work done before the request runs, by stage number
  * @param open        true if requests need no key
- * @param resumable   true if a stream may go on at another upstream
- * @param maxEventGap longest pause between events of a stream that is on time, zero for other kinds
+ * @param resumable   true if a stream may be resumed at another upstream
+ * @param maxEventGap maximum time between events of a stream that is on time, zero for other kinds
  */
 public record Route(
         String name,
@@ -42,9 +42,9 @@
     }
 
     /**
-     * Says whether a request may run more than once.
+     * Returns whether a request may run more than once.
      *
-     * @return true for idempotent requests and streams that may be resumed
+     * @return true for idempotent requests and resumable streams
      */
     public boolean isIdempotent() {
         return kind == RouteKind.SAFE || kind == RouteKind.STREAM && resumable;
@@ -53,7 +53,7 @@
     /**
      * Chooses a pool by weight.
      *
-     * @param draw a number drawn evenly from 0 (inclusive) to 1 (exclusive)
+     * @param draw a uniformly distributed random number from 0 (inclusive) to 1 (exclusive)
      * @return the pool's name
      */
     public String choosePool(double draw) {
--- a/library/src/main/java/org/copperspindle/route/RouteStage.java
+++ b/library/src/main/java/org/copperspindle/route/RouteStage.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * Work in pieces that is done before a request can run.
+ * A stage: work in pieces that is done before a request can run.
  *
- * @param pool        pool of the upstreams that do it
- * @param after       numbers of the stages whose results it needs, empty if it starts from the request itself
+ * @param pool        pool of the upstreams that run the pieces
+ * @param after       numbers of the stages whose results it needs, empty if it needs only the request itself
  * @param resultBytes approximate size of the result of one piece
  */
 public record RouteStage(String pool, List<Integer> after, long resultBytes) {
--- a/library/src/main/java/org/copperspindle/route/RouteTable.java
+++ b/library/src/main/java/org/copperspindle/route/RouteTable.java
@@ -10,16 +10,17 @@
 import java.util.stream.Collectors;
 
 /**
- * One version of everything that a deployment allows. Immutable; always a checked one, see {@link RouteTableCheck}.
+ * One version of the configuration of a deployment: routes, pools, client accounts and limits. Immutable and always
+ * checked, see {@link RouteTableCheck}.
  */
 public final class RouteTable {
 
     private final long version;
     private final List<Route> routes;
-    private final Map<String, List<Route>> byHost = new HashMap<>();
+    private final Map<String, List<Route>> routesByHost = new HashMap<>();
     private final Map<String, UpstreamPool> pools = new HashMap<>();
     private final List<ClientAccount> accounts;
-    private final Map<String, ClientAccount> byKey = new HashMap<>();
+    private final Map<String, ClientAccount> accountsByKey = new HashMap<>();
     private final boolean keyed;
     private final CallerLimits limits;
 
@@ -30,7 +31,7 @@
      * @param routes   its routes
      * @param pools    its pools
      * @param accounts client accounts; empty if the deployment declares none, and then no request needs a key
-     * @param limits   bounds on callers
+     * @param limits   limits on callers
      */
     public RouteTable(
             long version,
@@ -44,14 +45,14 @@
         this.keyed = accounts.isPresent();
         this.limits = limits;
         for (Route route : this.routes) {
-            byHost.computeIfAbsent(route.host(), h -> new ArrayList<>()).add(route);
+            routesByHost.computeIfAbsent(route.host(), h -> new ArrayList<>()).add(route);
         }
-        // The longest prefix decides, so that the first match in this order is the route.
+        // The longest prefix takes precedence, so that the first match in this order is the route.
         Comparator<Route> longestFirst =
                 Comparator.comparingInt((Route r) -> r.pathPrefix().length()).reversed();
-        byHost.values().forEach(list -> list.sort(longestFirst));
+        routesByHost.values().forEach(list -> list.sort(longestFirst));
         pools.forEach(pool -> this.pools.put(pool.name(), pool));
-        this.accounts.forEach(account -> account.keys().forEach(key -> byKey.put(key, account)));
+        this.accounts.forEach(account -> account.keys().forEach(key -> accountsByKey.put(key, account)));
     }
 
     /**
@@ -91,16 +92,16 @@
     }
 
     /**
-     * Returns the bounds on callers.
+     * Returns the limits on callers.
      *
-     * @return the bounds
+     * @return the limits
      */
     public CallerLimits limits() {
         return limits;
     }
 
     /**
-     * Says whether requests need a key unless their route is open.
+     * Returns whether requests need a key unless their route is open.
      *
      * @return true if the table declares client accounts
      */
@@ -111,14 +112,14 @@
     /**
      * Finds the route of a request.
      *
-     * @param host host that the request names, with or without a port
-     * @param path its path, as it stood in the request line
+     * @param host host named by the request, with or without a port
+     * @param path its path as in the request line
      * @return the route of that host with the longest prefix of the path
      */
     public Optional<Route> findRoute(String host, String path) {
         int colon = host.indexOf(':');
         String name = colon < 0 ? host : host.substring(0, colon);
-        for (Route route : byHost.getOrDefault(name, List.of())) {
+        for (Route route : routesByHost.getOrDefault(name, List.of())) {
             if (path.startsWith(route.pathPrefix())) {
                 return Optional.of(route);
             }
@@ -137,9 +138,9 @@
     }
 
     /**
-     * Lists for how long upstreams stay cold after their start.
+     * Returns how long upstreams stay cold after their start.
      *
-     * @return nanoseconds by name of the pool, only of pools that state it
+     * @return nanoseconds by name of the pool, only for pools that have a limit
      */
     public Map<String, Long> coldNanosByPool() {
         return pools().stream()
@@ -155,6 +156,6 @@
      * @return its account
      */
     public Optional<ClientAccount> findAccount(String key) {
-        return Optional.ofNullable(byKey.get(key));
+        return Optional.ofNullable(accountsByKey.get(key));
     }
 }
--- a/library/src/main/java/org/copperspindle/route/RouteTableCheck.java
+++ b/library/src/main/java/org/copperspindle/route/RouteTableCheck.java
@@ -8,27 +8,27 @@
 import java.util.Set;
 
 /**
- * Checks a table as a whole. A table that fails is refused whole, before anything of it is recorded.
+ * Checks a table as a whole. A table that fails is rejected before any of it is recorded.
  */
 public final class RouteTableCheck {
 
     private RouteTableCheck() {}
 
     /**
-     * Looks for what makes a table invalid.
+     * Finds what makes a table invalid.
      *
      * @param table    the table
-     * @param declared names of its pools as the configuration lists them
-     * @return the first problem found, in words that name the section, the entry and the key
+     * @param declared names of its pools as listed in the configuration
+     * @return the first problem found, as a text that names the section, the entry and the key
      */
     public static Optional<String> findProblem(RouteTable table, List<String> declared) {
-        return findDoublePool(declared)
-                .or(() -> findDoubleRoute(table))
-                .or(() -> findFaultyRoute(table))
+        return findDuplicatePool(declared)
+                .or(() -> findDuplicateRoute(table))
+                .or(() -> findInvalidRoute(table))
                 .or(() -> findSharedKey(table));
     }
 
-    private static Optional<String> findDoublePool(List<String> declared) {
+    private static Optional<String> findDuplicatePool(List<String> declared) {
         Set<String> seen = new HashSet<>();
         return declared.stream()
                 .filter(name -> !seen.add(name))
@@ -36,10 +36,10 @@
                 .map(name -> "pool " + name + " is declared twice");
     }
 
-    private static Optional<String> findDoubleRoute(RouteTable table) {
-        Map<String, String> places = new HashMap<>();
+    private static Optional<String> findDuplicateRoute(RouteTable table) {
+        Map<String, String> routeNames = new HashMap<>();
         for (Route route : table.routes()) {
-            String other = places.putIfAbsent(route.host() + ' ' + route.pathPrefix(), route.name());
+            String other = routeNames.putIfAbsent(route.host() + ' ' + route.pathPrefix(), route.name());
             if (other != null) {
                 return Optional.of("routes " + other + " and " + route.name() + " have the same host and path prefix");
             }
@@ -47,7 +47,7 @@
         return Optional.empty();
     }
 
-    private static Optional<String> findFaultyRoute(RouteTable table) {
+    private static Optional<String> findInvalidRoute(RouteTable table) {
         return table.routes().stream()
                 .flatMap(route -> findProblem(table, route).stream())
                 .findFirst();
@@ -94,12 +94,12 @@
 
     private static boolean hasCycle(List<RouteStage> stages) {
         Set<Integer> done = new HashSet<>();
-        boolean moved = true;
-        while (moved) {
-            moved = false;
+        boolean progress = true;
+        while (progress) {
+            progress = false;
             for (int number = 0; number < stages.size(); number++) {
                 if (done.containsAll(stages.get(number).after())) {
-                    moved |= done.add(number);
+                    progress |= done.add(number);
                 }
             }
         }
@@ -107,10 +107,10 @@
     }
 
     private static Optional<String> findSharedKey(RouteTable table) {
-        Map<String, String> holders = new HashMap<>();
+        Map<String, String> accountNames = new HashMap<>();
         for (ClientAccount account : table.accounts()) {
             for (String key : account.keys()) {
-                String other = holders.putIfAbsent(key, account.name());
+                String other = accountNames.putIfAbsent(key, account.name());
                 if (other != null && !other.equals(account.name())) {
                     return Optional.of("client accounts " + other + " and " + account.name() + " share a key");
                 }
--- a/library/src/main/java/org/copperspindle/route/RouteTableReader.java
+++ b/library/src/main/java/org/copperspindle/route/RouteTableReader.java
@@ -9,8 +9,8 @@
     /**
      * Reads and checks a text.
      *
-     * @param text the text as the operator sent it
-     * @return the table, or why there is none
+     * @param text the text as sent by the operator
+     * @return the table, or why it is invalid
      */
     RouteTableResult read(byte[] text);
 }
--- a/library/src/main/java/org/copperspindle/route/RouteTableResult.java
+++ b/library/src/main/java/org/copperspindle/route/RouteTableResult.java
@@ -1,7 +1,7 @@
 package org.copperspindle.route;
 
 /**
- * How reading a configuration ended.
+ * Result of reading a configuration.
  */
 public sealed interface RouteTableResult {
 
@@ -13,7 +13,7 @@
     record Valid(RouteTable table) implements RouteTableResult {}
 
     /**
-     * The text can't be read in full or is invalid.
+     * The text cannot be read completely or is invalid.
      *
      * @param problem what is wrong and where, for the operator
      */
--- a/library/src/main/java/org/copperspindle/route/UpstreamPool.java
+++ b/library/src/main/java/org/copperspindle/route/UpstreamPool.java
@@ -8,9 +8,9 @@
  *
  * @param name           its name
  * @param maxConnections connections that one upstream accepts from all callers together
- * @param batchLimits    limits of stage calls, empty if the pool serves no stage
+ * @param batchLimits    limits of the calls to one upstream, empty if the pool serves no stage
  * @param engineSlots    requests that one model engine runs at once, empty if the pool has no engines
- * @param cold           what a cold upstream bears, empty if it bears as much as any other
+ * @param cold           limits of a cold upstream, empty if it sustains as much as any other
  */
 public record UpstreamPool(
         String name,
--- a/library/src/main/java/org/copperspindle/route/WeightedPool.java
+++ b/library/src/main/java/org/copperspindle/route/WeightedPool.java
@@ -1,9 +1,9 @@
 package org.copperspindle.route;
 
 /**
- * A pool that gets a share of a route's requests.
+ * A pool that gets a share of the requests of a route.
  *
  * @param pool   its name
- * @param weight share against the other pools of the route, zero or more
+ * @param weight share relative to the other pools of the route, zero or more
  */
 public record WeightedPool(String pool, int weight) {}
--- a/library/src/main/java/org/copperspindle/route/package-info.java
+++ b/library/src/main/java/org/copperspindle/route/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What a deployment allows: routes by host and path, pools of upstreams, stages, keys of client accounts and bounds on
- * callers, as one checked table with a version.
+ * The configuration of a deployment: routes by host and path, pools of upstreams, stages, keys of client accounts and
+ * limits on callers, as one checked table with a version.
  */
 package org.copperspindle.route;
--- a/library/src/test/java/org/copperspindle/route/RouteTableTest.java
+++ b/library/src/test/java/org/copperspindle/route/RouteTableTest.java
@@ -28,13 +28,13 @@
         "h, /, ''",
         "j, /a/x, ''"
     })
-    void longestPrefixOfTheHostDecides(String host, String path, String route) {
+    void findsTheLongestPrefixOfTheHost(String host, String path, String route) {
         assertThat(table.findRoute(host, path).map(Route::name).orElse("")).isEqualTo(route);
     }
 
     @ParameterizedTest
     @CsvSource({"0.0, a", "0.89, a", "0.91, b", "0.999, b"})
-    void weightsShareRequestsOut(double draw, String pool) {
+    void choosesPoolsByWeight(double draw, String pool) {
         Route route = TestRoutes.route(
                 "r",
                 "h",
--- a/library/src/test/java/org/copperspindle/route/TestRoutes.java
+++ b/library/src/test/java/org/copperspindle/route/TestRoutes.java
@@ -12,12 +12,12 @@
 
     private TestRoutes() {}
 
-    // Makes a route of one pool without stages.
+    // Creates a route with one pool and without stages.
     public static Route route(String name, String host, String prefix, RouteKind kind, String pool) {
         return route(name, host, prefix, kind, List.of(new WeightedPool(pool, 1)), List.of());
     }
 
-    // Makes a route.
+    // Creates a route.
     public static Route route(
             String name,
             String host,
@@ -41,22 +41,22 @@
                 Duration.ofMillis(200));
     }
 
-    // Makes a pool of plain upstreams.
+    // Creates a pool of upstreams without stage calls.
     public static UpstreamPool pool(String name) {
         return new UpstreamPool(name, 100, Optional.empty(), OptionalInt.empty(), Optional.empty());
     }
 
-    // Makes a stage pool whose calls take 240 ms and 5 ms a piece, 40 pieces at most.
+    // Creates a stage pool whose calls take 240 ms and 5 ms per piece, with at most 40 pieces.
     public static UpstreamPool stagePool(String name) {
         return new UpstreamPool(name, 100, Optional.of(batch(40)), OptionalInt.empty(), Optional.empty());
     }
 
-    // Makes limits of calls of 240 ms and 5 ms a piece.
-    public static BatchLimits batch(int most) {
-        return new BatchLimits(1, 2, most, 240_000_000L, 5_000_000L, 5_000_000L, 4_000_000_000L, 1_250_000_000L);
+    // Creates limits of calls that take 240 ms and 5 ms per piece.
+    public static BatchLimits batch(int maxPieces) {
+        return new BatchLimits(1, 2, maxPieces, 240_000_000L, 5_000_000L, 5_000_000L, 4_000_000_000L, 1_250_000_000L);
     }
 
-    // Makes a table.
+    // Creates a table.
     public static RouteTable table(long version, List<Route> routes, List<UpstreamPool> pools) {
         return new RouteTable(version, routes, pools, Optional.empty(), CallerLimits.DEFAULT);
     }
