--- a/library/src/main/java/org/copperspindle/dialect/AnnouncementFields.java
+++ b/library/src/main/java/org/copperspindle/dialect/AnnouncementFields.java
@@ -6,17 +6,18 @@
 import org.copperspindle.wire.NumericAddress;
 
 /**
- * Names of the fields in which upstreams of a deployment say what they are. All but the last two are required, since an
- * announcement may come from a writer of another kind or version: what does not say all of it names no upstream.
+ * Names of the fields in which upstreams of a deployment announce themselves. All but the last two are required, since
+ * an announcement may come from a sender of another kind or version: one that lacks a field does not identify an
+ * upstream.
  *
  * @param pool          name of the pool
  * @param address       IP:PORT for requests
  * @param failureDomain failure domain
  * @param phase         {@code ready} or {@code draining}
  * @param slots         requests that it runs at once
- * @param sequence      number of the announcement within one life
- * @param incarnation   when that life began, milliseconds since 1970; may be absent
- * @param cold          how many milliseconds it stays cold; may be absent
+ * @param sequence      sequence number of the announcement within one incarnation
+ * @param incarnation   start of that incarnation, milliseconds since 1970; may be absent
+ * @param cold          remaining time for which it stays cold, in milliseconds; may be absent
  */
 public record AnnouncementFields(
         String pool,
@@ -32,9 +33,9 @@
      * Reads an announcement.
      *
      * @param id   id of the upstream
-     * @param body what it says
+     * @param body the announcement as JSON
      * @return the announcement
-     * @throws IllegalArgumentException if something is missing or wrong; names the field
+     * @throws IllegalArgumentException if a field is missing or invalid; names the field
      */
     public UpstreamRecord read(String id, JsonNode body) {
         return new UpstreamRecord(
@@ -51,11 +52,11 @@
     }
 
     /**
-     * Reads which life of an upstream speaks.
+     * Reads the incarnation of the upstream that sent a message.
      *
-     * @param body what it says
-     * @return its incarnation; {@link UpstreamRecord#UNKNOWN_INCARNATION} if it does not say so
-     * @throws IllegalArgumentException if it is no whole number above 0; names the field
+     * @param body the message as JSON
+     * @return its incarnation; {@link UpstreamRecord#UNKNOWN_INCARNATION} if it is absent
+     * @throws IllegalArgumentException if it is not a whole number above 0; names the field
      */
     public long readIncarnation(JsonNode body) {
         return body.has(incarnation)
@@ -63,7 +64,7 @@
                 : UpstreamRecord.UNKNOWN_INCARNATION;
     }
 
-    /** Fractions of a millisecond are rounded up: an upstream must not count as warm too early. */
+    /** Reads the cold time, rounded up to whole milliseconds so that an upstream does not count as warm too early. */
     private long readCold(JsonNode body) {
         if (!body.hasNonNull(cold)) {
             return 0;
--- a/library/src/main/java/org/copperspindle/dialect/ControlFormat.java
+++ b/library/src/main/java/org/copperspindle/dialect/ControlFormat.java
@@ -4,49 +4,49 @@
 import org.copperspindle.discovery.UpstreamRecord;
 
 /**
- * How operators and upstreams of a deployment write what they want of a node.
+ * Format of the control requests that the operators and upstreams of a deployment send to a node.
  */
 public interface ControlFormat {
 
     /**
-     * Returns how an upstream announces itself.
+     * Returns the call by which an upstream announces itself.
      *
-     * @return method and start of the path; the upstream's id follows
+     * @return method and prefix of the path; the upstream's id follows
      */
     ControlCall announce();
 
     /**
-     * Returns how an upstream says that it leaves.
+     * Returns the call by which an upstream announces that it leaves.
      *
-     * @return method and start of the path; the upstream's id follows
+     * @return method and prefix of the path; the upstream's id follows
      */
     ControlCall leave();
 
     /**
-     * Returns how an operator sends a configuration.
+     * Returns the call by which an operator submits a configuration.
      *
      * @return method and path
      */
     ControlCall putTable();
 
     /**
-     * Returns how an operator reads the newest configuration.
+     * Returns the call by which an operator reads the newest configuration.
      *
      * @return method and path
      */
     ControlCall readTable();
 
     /**
-     * Returns how an operator has a failure domain evacuated.
+     * Returns the call by which an operator evacuates a failure domain.
      *
-     * @return method and start of the path; the failure domain's name follows
+     * @return method and prefix of the path; the failure domain's name follows
      */
     ControlCall evacuate();
 
     /**
-     * Returns how an operator has a failure domain used again.
+     * Returns the call by which an operator ends the evacuation of a failure domain.
      *
-     * @return method and start of the path; the failure domain's name follows
+     * @return method and prefix of the path; the failure domain's name follows
      */
     ControlCall endEvacuation();
 
@@ -74,30 +74,30 @@
     JsonNode errorBody(String text);
 
     /**
-     * Reads an announcement. It may come from a writer of another kind or version: what it does not say in full names no
-     * upstream.
+     * Reads an announcement. It may come from a sender of another kind or version; one that lacks a field does not
+     * identify an upstream.
      *
      * @param id   id of the upstream
-     * @param body what it says
+     * @param body the announcement
      * @return the announcement
-     * @throws IllegalArgumentException if something is missing or wrong; names the field
+     * @throws IllegalArgumentException if a field is missing or invalid; names the field
      */
     UpstreamRecord readAnnouncement(String id, JsonNode body);
 
     /**
-     * Reads which life of an upstream leaves.
+     * Reads the incarnation of an upstream that leaves.
      *
-     * @param body what the upstream says when it leaves
-     * @return its incarnation; {@link UpstreamRecord#UNKNOWN_INCARNATION} if it does not say so
-     * @throws IllegalArgumentException if what it says is wrong; names the field
+     * @param body the message that the upstream sends when it leaves
+     * @return its incarnation; {@link UpstreamRecord#UNKNOWN_INCARNATION} if it is absent
+     * @throws IllegalArgumentException if it is invalid; names the field
      */
     long readDeparture(JsonNode body);
 
     /**
-     * A call of a node.
+     * Method and path of a call to a node.
      *
      * @param method HTTP method
-     * @param path   path, or its start
+     * @param path   path, or its prefix
      */
     record ControlCall(String method, String path) {}
 }
--- a/library/src/main/java/org/copperspindle/dialect/EvacuationEndpoint.java
+++ b/library/src/main/java/org/copperspindle/dialect/EvacuationEndpoint.java
@@ -17,45 +17,47 @@
 import org.copperspindle.version.EvacuationsMessage;
 
 /**
- * An operator's calls on evacuated failure domains. The project's own are there on every deployment: {@code GET} of {@value #PATH} lists
- * them as this node knows them, {@code PUT} of one below it begins an evacuation, {@code DELETE} ends it. A deployment may write
- * the last two in another way besides.
+ * HTTP endpoint for the evacuation of failure domains. On every deployment {@code GET} of {@value #PATH} lists the
+ * evacuated ones as known to this node, {@code PUT} of one below it begins an evacuation, {@code DELETE} ends it. A
+ * deployment may define another form of the last two in addition.
  */
 final class EvacuationEndpoint implements HttpRequestHandler {
 
-    /** Begins an evacuation; the failure domain's name follows. */
+    /** Begins an evacuation; the name of the failure domain follows. */
     static final ControlCall BEGIN = new ControlCall("PUT", "/v1/evacuations/");
 
-    /** Ends one. */
+    /** Ends an evacuation; the name of the failure domain follows. */
     static final ControlCall END = new ControlCall("DELETE", "/v1/evacuations/");
 
     private static final String PATH = "/v1/evacuations";
 
-    /** Longest name of a failure domain, in bytes of UTF-8. */
-    private static final int LONGEST_NAME = 200;
+    /** Maximum length of the name of a failure domain, in bytes of UTF-8. */
+    private static final int MAX_NAME_BYTES = 200;
 
     private static final int OK = 200;
     private static final int METHOD_NOT_ALLOWED = 405;
 
-    private final EvacuationRequestHandler desk;
+    private final EvacuationRequestHandler handler;
     private final ControlFormat format;
-    private final BiConsumer<HttpExchange, ControlResponse> others;
+    private final BiConsumer<HttpExchange, ControlResponse> failureResponder;
 
     /**
-     * Creates the calls.
+     * Creates the endpoint.
      *
-     * @param desk   what may be asked for
-     * @param format how it is written
-     * @param others answers with anything but success
+     * @param handler          handles the requests
+     * @param format           format of the calls
+     * @param failureResponder responds to an exchange with any result but success
      */
     EvacuationEndpoint(
-            EvacuationRequestHandler desk, ControlFormat format, BiConsumer<HttpExchange, ControlResponse> others) {
-        this.desk = desk;
+            EvacuationRequestHandler handler,
+            ControlFormat format,
+            BiConsumer<HttpExchange, ControlResponse> failureResponder) {
+        this.handler = handler;
         this.format = format;
-        this.others = others;
+        this.failureResponder = failureResponder;
     }
 
-    boolean isMeant(HttpExchange exchange) {
+    boolean matches(HttpExchange exchange) {
         return isList(exchange)
                 || Stream.of(BEGIN, END, format.evacuate(), format.endEvacuation())
                         .anyMatch(call -> exchange.path().startsWith(call.path()));
@@ -64,17 +66,17 @@
     @Override
     public void handle(HttpExchange exchange) {
         if (isList(exchange) && exchange.method().equals("GET")) {
-            HttpControlEndpoint.answer(exchange, OK, list());
+            HttpControlEndpoint.respond(exchange, OK, evacuationList());
             return;
         }
         Optional<ControlCall> begins = find(exchange, BEGIN, format.evacuate());
         Optional<ControlCall> ends = find(exchange, END, format.endEvacuation());
         if (begins.isPresent()) {
-            order(exchange, begins.get(), true);
+            submit(exchange, begins.get(), true);
         } else if (ends.isPresent()) {
-            order(exchange, ends.get(), false);
+            submit(exchange, ends.get(), false);
         } else {
-            HttpControlEndpoint.answer(exchange, METHOD_NOT_ALLOWED, format.errorBody("method not allowed"));
+            HttpControlEndpoint.respond(exchange, METHOD_NOT_ALLOWED, format.errorBody("method not allowed"));
         }
     }
 
@@ -89,35 +91,35 @@
                 .findFirst();
     }
 
-    private void order(HttpExchange exchange, ControlCall call, boolean begins) {
+    private void submit(HttpExchange exchange, ControlCall call, boolean begins) {
         String name = exchange.path().substring(call.path().length());
-        if (name.isEmpty() || name.getBytes(StandardCharsets.UTF_8).length > LONGEST_NAME) {
-            invalid(exchange, "the name of a failure domain has 1 to " + LONGEST_NAME + " bytes");
+        if (name.isEmpty() || name.getBytes(StandardCharsets.UTF_8).length > MAX_NAME_BYTES) {
+            respondInvalid(exchange, "the name of a failure domain has 1 to " + MAX_NAME_BYTES + " bytes");
         } else if (exchange.body().length > 0) {
-            invalid(exchange, "an order on a failure domain has no body");
+            respondInvalid(exchange, "a request to evacuate a failure domain must not have a body");
         } else {
-            desk.order(new EvacuationCommand(name, begins), result -> ordered(exchange, name, begins, result));
+            handler.submit(new EvacuationCommand(name, begins), result -> respond(exchange, name, begins, result));
         }
     }
 
-    private void ordered(HttpExchange exchange, String name, boolean begins, ControlResponse result) {
+    private void respond(HttpExchange exchange, String name, boolean begins, ControlResponse result) {
         if (result instanceof ControlResponse.Recorded) {
             JsonNode body = JsonText.nodes().objectNode().put(begins ? "evacuated" : "used", name);
-            HttpControlEndpoint.answer(exchange, OK, body);
+            HttpControlEndpoint.respond(exchange, OK, body);
         } else {
-            others.accept(exchange, result);
+            failureResponder.accept(exchange, result);
         }
     }
 
-    private JsonNode list() {
-        EvacuationsMessage held = desk.held();
-        ObjectNode all = JsonText.nodes().objectNode().put("revision", held.revision());
-        ArrayNode names = all.putArray("evacuated");
-        held.failureDomains().forEach(names::add);
-        return all;
+    private JsonNode evacuationList() {
+        EvacuationsMessage current = handler.current();
+        ObjectNode body = JsonText.nodes().objectNode().put("revision", current.revision());
+        ArrayNode names = body.putArray("evacuated");
+        current.failureDomains().forEach(names::add);
+        return body;
     }
 
-    private void invalid(HttpExchange exchange, String problem) {
-        others.accept(exchange, new ControlResponse.Invalid(problem));
+    private void respondInvalid(HttpExchange exchange, String problem) {
+        failureResponder.accept(exchange, new ControlResponse.Invalid(problem));
     }
 }
--- a/library/src/main/java/org/copperspindle/dialect/HeaderCallerDialect.java
+++ b/library/src/main/java/org/copperspindle/dialect/HeaderCallerDialect.java
@@ -15,7 +15,7 @@
 import org.copperspindle.http.HttpExchange;
 
 /**
- * Callers that say what they want in header fields.
+ * Reads requests whose parameters are in header fields.
  */
 public final class HeaderCallerDialect implements CallerDialect {
 
@@ -47,7 +47,7 @@
 
     @Override
     public List<HeaderField> retryAfter(Duration after) {
-        // Fractions of a second are taken by callers that come back within one, and rounded by others.
+        // Callers that can retry within a second honour fractions of a second, others round them.
         String seconds = String.format(Locale.ROOT, "%.2f", after.toMillis() / MILLIS_PER_SECOND);
         return List.of(new HeaderField(HeaderFields.RETRY_AFTER, seconds));
     }
@@ -65,7 +65,7 @@
                 prompt(exchange.header(names.prompt()).orElse("")),
                 pieces(exchange.header(names.pieces()).orElse("")),
                 exchange.header(names.pieceKey()).orElse(""),
-                HeaderFields.passedOn(exchange.fields(), names.ofSystem()));
+                HeaderFields.forwarded(exchange.fields(), names.reserved()));
     }
 
     private static Optional<String> key(String authorization) {
--- a/library/src/main/java/org/copperspindle/dialect/HeaderFields.java
+++ b/library/src/main/java/org/copperspindle/dialect/HeaderFields.java
@@ -9,7 +9,7 @@
 import org.copperspindle.http.HeaderField;
 
 /**
- * Which header fields are passed on.
+ * Names of header fields, and the choice of those that are forwarded.
  */
 final class HeaderFields {
 
@@ -20,8 +20,8 @@
     static final String RETRY_AFTER = "Retry-After";
     private static final String CONNECTION = "Connection";
 
-    /** Fields of one connection only. */
-    private static final Set<String> OF_CONNECTION = Set.of(
+    /** Fields that apply to one connection only. */
+    private static final Set<String> HOP_BY_HOP = Set.of(
             "connection",
             "keep-alive",
             "proxy-connection",
@@ -36,23 +36,23 @@
 
     private HeaderFields() {}
 
-    /** Returns the fields but those of the connection they came on and some others, named in lower case. */
-    static List<HeaderField> passedOn(List<HeaderField> fields, Set<String> dropped) {
-        Set<String> named = new HashSet<>();
+    /** Returns the fields to forward: all but the hop-by-hop fields and those to drop, named in lower case. */
+    static List<HeaderField> forwarded(List<HeaderField> fields, Set<String> dropped) {
+        Set<String> connectionOptions = new HashSet<>();
         for (HeaderField field : fields) {
             if (field.hasName(CONNECTION)) {
                 for (String name : field.value().split(",")) {
-                    named.add(name.trim().toLowerCase(Locale.ROOT));
+                    connectionOptions.add(name.trim().toLowerCase(Locale.ROOT));
                 }
             }
         }
-        List<HeaderField> kept = new ArrayList<>();
+        List<HeaderField> forwarded = new ArrayList<>();
         for (HeaderField field : fields) {
             String name = field.name().toLowerCase(Locale.ROOT);
-            if (!OF_CONNECTION.contains(name) && !dropped.contains(name) && !named.contains(name)) {
-                kept.add(field);
+            if (!HOP_BY_HOP.contains(name) && !dropped.contains(name) && !connectionOptions.contains(name)) {
+                forwarded.add(field);
             }
         }
-        return kept;
+        return forwarded;
     }
 }
--- a/library/src/main/java/org/copperspindle/dialect/HeaderNames.java
+++ b/library/src/main/java/org/copperspindle/dialect/HeaderNames.java
@@ -5,20 +5,20 @@
 /**
  * Names of the header fields that callers and upstreams of a deployment use.
  *
- * @param requestId         identity of one attempt of a caller
- * @param deadline          milliseconds that the caller waits; towards an upstream, those that are left
+ * @param requestId         id of one attempt of a caller
+ * @param deadline          caller's timeout in milliseconds; towards an upstream, the remaining time
  * @param prompt            parts of the prompt as ID:TOKENS, in order, separated by commas
  * @param pieces            number of pieces of each stage, separated by commas
- * @param pieceKey          key that the pieces of stages without predecessors are made from
+ * @param pieceKey          key from which the pieces of stages without predecessors are computed
  * @param expectedUpstream  id of the only upstream that may run the request
- * @param answeringUpstream id of the upstream that answered
+ * @param answeringUpstream id of the upstream that responded
  * @param account           name of the client account that holds the key
  * @param rank              urgency, 0 first
  * @param inputs            handles of all stage results that the request needs, separated by commas
- * @param notRun            present where an upstream says that it did not run the request
- * @param limit             requests a second that an upstream takes from all nodes together
- * @param leaving           present as "1" in the answers of an upstream that leaves
- * @param ofSystem          names in lower case of all fields that only the system may set; a caller's are dropped
+ * @param notRun            present if an upstream states that it did not run the request
+ * @param limit             requests per second that an upstream accepts from all nodes together
+ * @param leaving           present as "1" in the responses of an upstream that leaves
+ * @param reserved          names in lower case of all fields that only the system may set; a caller's are dropped
  */
 public record HeaderNames(
         String requestId,
@@ -34,9 +34,9 @@
         String notRun,
         String limit,
         String leaving,
-        Set<String> ofSystem) {
+        Set<String> reserved) {
 
-    /** The project's own names. */
+    /** The default names. */
     public static final HeaderNames STANDARD = new HeaderNames(
             "X-Request-Id",
             "Copperspindle-Deadline-Ms",
@@ -62,6 +62,6 @@
 
     /** Copies the set. */
     public HeaderNames {
-        ofSystem = Set.copyOf(ofSystem);
+        reserved = Set.copyOf(reserved);
     }
 }
--- a/library/src/main/java/org/copperspindle/dialect/HeaderUpstreamDialect.java
+++ b/library/src/main/java/org/copperspindle/dialect/HeaderUpstreamDialect.java
@@ -15,15 +15,15 @@
 import org.copperspindle.http.HeaderField;
 
 /**
- * Upstreams that are told what to run in header fields.
+ * Writes calls to upstreams with their parameters in header fields, and reads the fields of their responses.
  */
 public final class HeaderUpstreamDialect implements UpstreamDialect {
 
     private static final int MISDIRECTED = 421;
     private static final int CONFLICT = 409;
     private static final int UNAVAILABLE = 503;
-    private static final String LEAVES = "1";
-    private static final int LOWEST_RANK = 9;
+    private static final String LEAVING = "1";
+    private static final int MAX_RANK = 9;
 
     private final HeaderNames names;
 
@@ -37,24 +37,24 @@
     }
 
     @Override
-    public DirectCall write(AttemptSpec order) {
-        GatewayRequest request = order.request();
+    public DirectCall write(AttemptSpec attempt) {
+        GatewayRequest request = attempt.request();
         List<HeaderField> fields = new ArrayList<>(request.fields());
-        fields.add(new HeaderField(names.deadline(), Long.toString(order.remainingMillis())));
-        fields.add(new HeaderField(names.expectedUpstream(), order.upstream().id()));
-        fields.add(new HeaderField(names.rank(), Integer.toString(Math.min(LOWEST_RANK, order.rank()))));
-        order.account().ifPresent(name -> fields.add(new HeaderField(names.account(), name)));
-        order.inputs().ifPresent(handles -> fields.add(new HeaderField(names.inputs(), String.join(",", handles))));
-        order.resumeAfter().ifPresent(id -> fields.add(new HeaderField(HeaderFields.LAST_EVENT_ID, id)));
+        fields.add(new HeaderField(names.deadline(), Long.toString(attempt.remainingMillis())));
+        fields.add(new HeaderField(names.expectedUpstream(), attempt.upstream().id()));
+        fields.add(new HeaderField(names.rank(), Integer.toString(Math.min(MAX_RANK, attempt.rank()))));
+        attempt.account().ifPresent(name -> fields.add(new HeaderField(names.account(), name)));
+        attempt.inputs().ifPresent(handles -> fields.add(new HeaderField(names.inputs(), String.join(",", handles))));
+        attempt.resumeAfter().ifPresent(id -> fields.add(new HeaderField(HeaderFields.LAST_EVENT_ID, id)));
         return new DirectCall(
-                order.upstream().id(),
-                order.upstream().address(),
+                attempt.upstream().id(),
+                attempt.upstream().address(),
                 request.method(),
                 request.uri(),
                 fields,
                 request.body(),
                 request.id(),
-                order.connectionUse());
+                attempt.connectionUse());
     }
 
     @Override
@@ -87,11 +87,11 @@
     @Override
     public boolean isLeaving(DirectHead head) {
         return head.values(names.leaving()).stream()
-                .anyMatch(value -> value.trim().equals(LEAVES));
+                .anyMatch(value -> value.trim().equals(LEAVING));
     }
 
     @Override
     public List<HeaderField> callerFields(DirectHead head) {
-        return HeaderFields.passedOn(head.fields(), Set.of());
+        return HeaderFields.forwarded(head.fields(), Set.of());
     }
 }
--- a/library/src/main/java/org/copperspindle/dialect/HttpControlEndpoint.java
+++ b/library/src/main/java/org/copperspindle/dialect/HttpControlEndpoint.java
@@ -14,7 +14,7 @@
 import org.copperspindle.http.HttpRequestHandler;
 
 /**
- * A node's door for operators and upstreams.
+ * HTTP endpoint of a node for operators and upstreams.
  */
 public final class HttpControlEndpoint implements HttpRequestHandler {
 
@@ -24,48 +24,48 @@
     private static final int NOT_FOUND = 404;
     private static final int METHOD_NOT_ALLOWED = 405;
     private static final int UNAVAILABLE = 503;
-    private static final JsonNode NOTHING = JsonText.nodes().objectNode();
+    private static final JsonNode EMPTY_BODY = JsonText.nodes().objectNode();
 
-    private final ControlRequestHandler desk;
+    private final ControlRequestHandler handler;
     private final ControlFormat format;
-    private final QuarantinedRequestsEndpoint heldRequests;
+    private final QuarantinedRequestsEndpoint quarantinedRequests;
     private final EvacuationEndpoint evacuations;
 
     /**
-     * Creates the door.
+     * Creates the endpoint.
      *
-     * @param desk   what may be asked for
-     * @param format how it is written
+     * @param handler handles the requests
+     * @param format  format of the calls
      */
-    public HttpControlEndpoint(ControlRequestHandler desk, ControlFormat format) {
-        this.desk = desk;
+    public HttpControlEndpoint(ControlRequestHandler handler, ControlFormat format) {
+        this.handler = handler;
         this.format = format;
-        this.heldRequests = new QuarantinedRequestsEndpoint(desk);
-        this.evacuations = new EvacuationEndpoint(desk.evacuations(), format, this::other);
+        this.quarantinedRequests = new QuarantinedRequestsEndpoint(handler);
+        this.evacuations = new EvacuationEndpoint(handler.evacuationHandler(), format, this::respondFailure);
     }
 
     @Override
     public void handle(HttpExchange exchange) {
-        if (QuarantinedRequestsEndpoint.isMeant(exchange)) {
-            heldRequests.handle(exchange);
-        } else if (evacuations.isMeant(exchange)) {
+        if (QuarantinedRequestsEndpoint.matches(exchange)) {
+            quarantinedRequests.handle(exchange);
+        } else if (evacuations.matches(exchange)) {
             evacuations.handle(exchange);
-        } else if (isCall(exchange, format.announce())) {
-            announced(exchange, idOf(exchange, format.announce()));
-        } else if (isCall(exchange, format.leave())) {
-            left(exchange, idOf(exchange, format.leave()));
-        } else if (isWhole(exchange, format.putTable())) {
-            desk.accept(exchange.body(), result -> accepted(exchange, result));
-        } else if (isWhole(exchange, format.readTable())) {
-            desk.read(result -> read(exchange, result));
-        } else if (isPath(exchange)) {
-            problem(exchange, METHOD_NOT_ALLOWED, "method not allowed");
+        } else if (isPrefixCall(exchange, format.announce())) {
+            onAnnouncement(exchange, idOf(exchange, format.announce()));
+        } else if (isPrefixCall(exchange, format.leave())) {
+            onDeparture(exchange, idOf(exchange, format.leave()));
+        } else if (isExactCall(exchange, format.putTable())) {
+            handler.submitTable(exchange.body(), result -> respondAccepted(exchange, result));
+        } else if (isExactCall(exchange, format.readTable())) {
+            handler.readTable(result -> respondTable(exchange, result));
+        } else if (isKnownPath(exchange)) {
+            respondError(exchange, METHOD_NOT_ALLOWED, "method not allowed");
         } else {
-            problem(exchange, NOT_FOUND, "no such call");
+            respondError(exchange, NOT_FOUND, "no such call");
         }
     }
 
-    private boolean isPath(HttpExchange exchange) {
+    private boolean isKnownPath(HttpExchange exchange) {
         String path = exchange.path();
         return path.startsWith(format.announce().path())
                 || path.startsWith(format.leave().path())
@@ -73,11 +73,11 @@
                 || path.equals(format.readTable().path());
     }
 
-    private static boolean isCall(HttpExchange exchange, ControlCall call) {
+    private static boolean isPrefixCall(HttpExchange exchange, ControlCall call) {
         return exchange.method().equals(call.method()) && exchange.path().startsWith(call.path());
     }
 
-    private static boolean isWhole(HttpExchange exchange, ControlCall call) {
+    private static boolean isExactCall(HttpExchange exchange, ControlCall call) {
         return exchange.method().equals(call.method()) && exchange.path().equals(call.path());
     }
 
@@ -85,73 +85,73 @@
         return exchange.path().substring(call.path().length());
     }
 
-    private void announced(HttpExchange exchange, String id) {
+    private void onAnnouncement(HttpExchange exchange, String id) {
         try {
-            Optional<String> refused = desk.announced(format.readAnnouncement(id, JsonText.read(exchange.body())));
+            Optional<String> refused =
+                    handler.onAnnouncement(format.readAnnouncement(id, JsonText.read(exchange.body())));
             if (refused.isPresent()) {
-                problem(exchange, UNAVAILABLE, "announcement: " + refused.get());
+                respondError(exchange, UNAVAILABLE, "announcement: " + refused.get());
             } else {
-                answer(exchange, OK, NOTHING);
+                respond(exchange, OK, EMPTY_BODY);
             }
         } catch (IOException | IllegalArgumentException e) {
-            unreadable(exchange, id, e);
+            rejectUnreadable(exchange, id, e);
         }
     }
 
-    private void left(HttpExchange exchange, String id) {
+    private void onDeparture(HttpExchange exchange, String id) {
         try {
-            boolean tellsMore = exchange.body().length > 0;
-            long incarnation = tellsMore
-                    ? format.readDeparture(JsonText.read(exchange.body()))
-                    : UpstreamRecord.UNKNOWN_INCARNATION;
-            desk.left(id, incarnation);
-            answer(exchange, OK, NOTHING);
+            boolean hasBody = exchange.body().length > 0;
+            long incarnation =
+                    hasBody ? format.readDeparture(JsonText.read(exchange.body())) : UpstreamRecord.UNKNOWN_INCARNATION;
+            handler.onDeparture(id, incarnation);
+            respond(exchange, OK, EMPTY_BODY);
         } catch (IOException | IllegalArgumentException e) {
-            unreadable(exchange, id, e);
+            rejectUnreadable(exchange, id, e);
         }
     }
 
-    private void unreadable(HttpExchange exchange, String id, Exception e) {
-        desk.ignored(id, "unreadable", e.getMessage());
-        problem(exchange, BAD_REQUEST, "announcement: " + e.getMessage());
+    private void rejectUnreadable(HttpExchange exchange, String id, Exception e) {
+        handler.recordIgnored(id, "unreadable", e.getMessage());
+        respondError(exchange, BAD_REQUEST, "announcement: " + e.getMessage());
     }
 
-    private void accepted(HttpExchange exchange, ControlResponse result) {
+    private void respondAccepted(HttpExchange exchange, ControlResponse result) {
         if (result instanceof ControlResponse.Recorded recorded) {
-            answer(exchange, OK, format.acceptedBody(recorded.version()));
+            respond(exchange, OK, format.acceptedBody(recorded.version()));
         } else {
-            other(exchange, result);
+            respondFailure(exchange, result);
         }
     }
 
-    private void read(HttpExchange exchange, ControlResponse result) {
+    private void respondTable(HttpExchange exchange, ControlResponse result) {
         if (!(result instanceof ControlResponse.Recorded recorded)) {
-            other(exchange, result);
+            respondFailure(exchange, result);
         } else if (recorded.text().isEmpty()) {
-            problem(exchange, UNAVAILABLE, "no configuration was accepted yet");
+            respondError(exchange, UNAVAILABLE, "no configuration was accepted yet");
         } else {
             exchange.respond(OK, format.tableType(), Map.of(), recorded.text().get());
         }
     }
 
-    private void other(HttpExchange exchange, ControlResponse result) {
+    private void respondFailure(HttpExchange exchange, ControlResponse result) {
         if (result instanceof ControlResponse.Elsewhere elsewhere) {
             String target = exchange.uri().startsWith("/") ? exchange.uri() : exchange.path();
             String location = "http://" + elsewhere.control() + target;
             exchange.respond(TEMPORARY_REDIRECT, JsonText.CONTENT_TYPE, Map.of("Location", location), new byte[0]);
         } else if (result instanceof ControlResponse.Invalid invalid) {
-            problem(exchange, BAD_REQUEST, invalid.problem());
+            respondError(exchange, BAD_REQUEST, invalid.problem());
         } else if (result instanceof ControlResponse.Unavailable unavailable) {
-            problem(exchange, UNAVAILABLE, unavailable.reason());
+            respondError(exchange, UNAVAILABLE, unavailable.reason());
         }
     }
 
-    private void problem(HttpExchange exchange, int status, String text) {
-        answer(exchange, status, format.errorBody(text));
+    private void respondError(HttpExchange exchange, int status, String text) {
+        respond(exchange, status, format.errorBody(text));
     }
 
-    /** Answers with a JSON body. */
-    static void answer(HttpExchange exchange, int status, JsonNode body) {
+    /** Responds with a JSON body. */
+    static void respond(HttpExchange exchange, int status, JsonNode body) {
         exchange.respond(
                 status, JsonText.CONTENT_TYPE, Map.of(), body.toString().getBytes(StandardCharsets.UTF_8));
     }
--- a/library/src/main/java/org/copperspindle/dialect/JsonStagePort.java
+++ b/library/src/main/java/org/copperspindle/dialect/JsonStagePort.java
@@ -25,13 +25,13 @@
 import org.copperspindle.time.TimerSubscription;
 
 /**
- * Calls of stage upstreams with JSON bodies.
+ * Sends calls with JSON bodies to stage upstreams.
  */
 public final class JsonStagePort implements StagePort {
 
     private static final Logger LOGGER = LogManager.getLogger(JsonStagePort.class);
     private static final long NANOS_PER_MILLI = 1_000_000L;
-    private static final long FREE_TIMEOUT_MILLIS = 2000;
+    private static final long RELEASE_TIMEOUT_MILLIS = 2000;
 
     private final StageCallFormat format;
     private final HeaderNames names;
@@ -41,10 +41,10 @@
     /**
      * Creates the port.
      *
-     * @param format how calls are written
+     * @param format format of the calls
      * @param names  names of header fields
      * @param port   sends calls
-     * @param timers time on the network thread
+     * @param timers timers on the network thread
      */
     public JsonStagePort(StageCallFormat format, HeaderNames names, UpstreamPort port, TimerService timers) {
         this.format = format;
@@ -56,21 +56,26 @@
     @Override
     public void run(
             UpstreamRecord upstream, List<StageItem> items, long timeoutMillis, Consumer<StageCallResult> callback) {
-        call(upstream, format.runPath(), format.write(items), timeoutMillis, new Reply(items.size(), callback));
+        call(
+                upstream,
+                format.runPath(),
+                format.write(items),
+                timeoutMillis,
+                new ResponseReader(items.size(), callback));
     }
 
     @Override
     public void free(UpstreamRecord upstream, List<String> handles, Runnable ended) {
-        Reply reply = new Reply(0, result -> {
+        ResponseReader reader = new ResponseReader(0, result -> {
             if (!(result instanceof StageCallResult.Answered)) {
                 LOGGER.debug("event=results-not-freed upstream={} result={}", upstream.id(), result);
             }
             ended.run();
         });
-        call(upstream, format.freePath(), format.writeFreed(handles), FREE_TIMEOUT_MILLIS, reply);
+        call(upstream, format.freePath(), format.writeFreed(handles), RELEASE_TIMEOUT_MILLIS, reader);
     }
 
-    private void call(UpstreamRecord upstream, String path, JsonNode body, long timeoutMillis, Reply reply) {
+    private void call(UpstreamRecord upstream, String path, JsonNode body, long timeoutMillis, ResponseReader reader) {
         List<HeaderField> fields = List.of(
                 new HeaderField(HeaderFields.HOST, upstream.address()),
                 new HeaderField(HeaderFields.CONTENT_TYPE, JsonText.CONTENT_TYPE),
@@ -84,12 +89,12 @@
                 body.toString().getBytes(StandardCharsets.UTF_8),
                 "",
                 ConnectionUse.KEPT);
-        reply.timeout = timers.schedule(timeoutMillis * NANOS_PER_MILLI, reply::timedOut);
-        reply.handle = port.call(call, reply);
+        reader.timeout = timers.schedule(timeoutMillis * NANOS_PER_MILLI, reader::timedOut);
+        reader.handle = port.call(call, reader);
     }
 
-    /** Waits for the answer to one call. */
-    private final class Reply implements DirectListener {
+    /** Collects the response to one call. */
+    private final class ResponseReader implements DirectListener {
         private static final int MISDIRECTED = 421;
 
         private final int items;
@@ -100,7 +105,7 @@
         private DirectHead head;
         private boolean ended;
 
-        private Reply(int items, Consumer<StageCallResult> callback) {
+        private ResponseReader(int items, Consumer<StageCallResult> callback) {
             this.items = items;
             this.callback = callback;
         }
@@ -123,8 +128,8 @@
         @Override
         public void onFailure(DirectFailure failure) {
             String reason = failure.sent() ? failure.reason() : "unsent-" + failure.reason();
-            boolean mayHaveEnded = failure.sent() && failure.connectionLost();
-            end(new StageCallResult.Lost(reason, mayHaveEnded));
+            boolean mayHaveTerminated = failure.sent() && failure.connectionLost();
+            end(new StageCallResult.Lost(reason, mayHaveTerminated));
         }
 
         private void timedOut() {
@@ -151,15 +156,15 @@
                 return new StageCallResult.Answered(List.of());
             }
             try {
-                return checked(format.read(JsonText.read(body.toByteArray())));
+                return requireAllOutcomes(format.read(JsonText.read(body.toByteArray())));
             } catch (IOException e) {
                 return new StageCallResult.Lost("answer-unreadable", false);
             }
         }
 
-        private StageCallResult checked(List<PieceOutcome> outcomes) {
+        private StageCallResult requireAllOutcomes(List<PieceOutcome> outcomes) {
             if (outcomes.size() != items) {
-                // Outcomes have no name but their place: with one missing, none can be told from another.
+                // Outcomes are matched to pieces by position: with one missing, the others cannot be assigned.
                 return new StageCallResult.Lost("answer-incomplete", false);
             }
             return new StageCallResult.Answered(outcomes);
--- a/library/src/main/java/org/copperspindle/dialect/JsonText.java
+++ b/library/src/main/java/org/copperspindle/dialect/JsonText.java
@@ -10,14 +10,17 @@
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 
 /**
- * Reading of JSON texts.
+ * Strict reading of JSON.
  */
 public final class JsonText {
 
     /** Content type of JSON. */
     public static final String CONTENT_TYPE = "application/json";
 
-    /** A text with a name twice means different things to different readers; one with more behind its end is cut. */
+    /**
+     * Rejects duplicate names, which readers interpret differently, and content after the end of the value, which
+     * would otherwise be silently cut off.
+     */
     private static final ObjectMapper MAPPER = new ObjectMapper(JsonFactory.builder()
                     .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
                     .build())
@@ -46,7 +49,7 @@
      * @param object the object
      * @param field  name of the field
      * @return its value
-     * @throws IllegalArgumentException if it is missing; names it
+     * @throws IllegalArgumentException if it is missing; names the field
      */
     public static JsonNode require(JsonNode object, String field) {
         JsonNode value = object.get(field);
@@ -62,7 +65,7 @@
      * @param object the object
      * @param field  name of the field
      * @return its text
-     * @throws IllegalArgumentException if it is missing or no text; names it
+     * @throws IllegalArgumentException if it is missing or not a text; names the field
      */
     public static String requireText(JsonNode object, String field) {
         JsonNode value = require(object, field);
@@ -78,7 +81,7 @@
      * @param object the object
      * @param field  name of the field
      * @return its value
-     * @throws IllegalArgumentException if it is missing or no whole number; names it
+     * @throws IllegalArgumentException if it is missing or not a whole number; names the field
      */
     public static long requireLong(JsonNode object, String field) {
         JsonNode value = require(object, field);
@@ -89,18 +92,18 @@
     }
 
     /**
-     * Returns a whole number that counts something.
+     * Returns a whole number that has a lower bound.
      *
      * @param object the object
      * @param field  name of the field
-     * @param least  least allowed value
+     * @param min    minimum value
      * @return its value
-     * @throws IllegalArgumentException if it is missing, no whole number or below that; names it
+     * @throws IllegalArgumentException if it is missing, not a whole number or below the minimum; names the field
      */
-    public static long requireAtLeast(JsonNode object, String field, long least) {
+    public static long requireAtLeast(JsonNode object, String field, long min) {
         long value = requireLong(object, field);
-        if (value < least) {
-            throw new IllegalArgumentException(field + " is below " + least);
+        if (value < min) {
+            throw new IllegalArgumentException(field + " is below " + min);
         }
         return value;
     }
--- a/library/src/main/java/org/copperspindle/dialect/QuarantinedRequestsEndpoint.java
+++ b/library/src/main/java/org/copperspindle/dialect/QuarantinedRequestsEndpoint.java
@@ -10,8 +10,8 @@
 import org.copperspindle.quarantine.RequestDigest;
 
 /**
- * An operator's calls on requests that are held off: {@code GET} lists them, {@code DELETE} of one lets it run again. The
- * project's own on every deployment.
+ * HTTP endpoint for quarantined requests: {@code GET} lists them, {@code DELETE} of one lifts its quarantine. It is
+ * the same on every deployment.
  */
 final class QuarantinedRequestsEndpoint implements HttpRequestHandler {
 
@@ -20,56 +20,56 @@
     private static final int NOT_FOUND = 404;
     private static final int METHOD_NOT_ALLOWED = 405;
 
-    private final ControlRequestHandler desk;
+    private final ControlRequestHandler handler;
 
-    QuarantinedRequestsEndpoint(ControlRequestHandler desk) {
-        this.desk = desk;
+    QuarantinedRequestsEndpoint(ControlRequestHandler handler) {
+        this.handler = handler;
     }
 
-    static boolean isMeant(HttpExchange exchange) {
+    static boolean matches(HttpExchange exchange) {
         String path = exchange.path();
         return path.equals(PATH) || path.startsWith(PATH + '/');
     }
 
     @Override
     public void handle(HttpExchange exchange) {
-        boolean names = exchange.path().length() > PATH.length() + 1;
-        if (!names && exchange.method().equals("GET")) {
-            HttpControlEndpoint.answer(exchange, OK, list());
-        } else if (names && exchange.method().equals("DELETE")) {
+        boolean hasDigest = exchange.path().length() > PATH.length() + 1;
+        if (!hasDigest && exchange.method().equals("GET")) {
+            HttpControlEndpoint.respond(exchange, OK, requestList());
+        } else if (hasDigest && exchange.method().equals("DELETE")) {
             lift(exchange, exchange.path().substring(PATH.length() + 1));
         } else {
-            HttpControlEndpoint.answer(
-                    exchange, METHOD_NOT_ALLOWED, problem("GET lists, DELETE of one lifts its hold"));
+            HttpControlEndpoint.respond(
+                    exchange, METHOD_NOT_ALLOWED, errorBody("GET lists, DELETE of one lifts its quarantine"));
         }
     }
 
     private void lift(HttpExchange exchange, String digest) {
-        if (desk.liftHold(new RequestDigest(digest))) {
-            HttpControlEndpoint.answer(
+        if (handler.liftQuarantine(new RequestDigest(digest))) {
+            HttpControlEndpoint.respond(
                     exchange, OK, JsonText.nodes().objectNode().put("lifted", digest));
         } else {
-            HttpControlEndpoint.answer(exchange, NOT_FOUND, problem("no request of that digest is suspected"));
+            HttpControlEndpoint.respond(exchange, NOT_FOUND, errorBody("no request of that digest is suspected"));
         }
     }
 
-    private JsonNode list() {
-        ObjectNode all = JsonText.nodes().objectNode();
-        ArrayNode held = all.putArray("held");
-        for (QuarantinedRequest each : desk.heldRequests()) {
-            ObjectNode one = held.addObject()
-                    .put("digest", each.digest())
-                    .put("route", each.route())
-                    .put("account", each.account())
-                    .put("since_ms", each.sinceMillis())
-                    .put("left_ms", each.remainingMillis());
-            ArrayNode upstreams = one.putArray("upstreams");
-            each.upstreams().forEach(upstreams::add);
+    private JsonNode requestList() {
+        ObjectNode body = JsonText.nodes().objectNode();
+        ArrayNode entries = body.putArray("held");
+        for (QuarantinedRequest request : handler.quarantinedRequests()) {
+            ObjectNode entry = entries.addObject()
+                    .put("digest", request.digest())
+                    .put("route", request.route())
+                    .put("account", request.account())
+                    .put("since_ms", request.sinceMillis())
+                    .put("left_ms", request.remainingMillis());
+            ArrayNode upstreams = entry.putArray("upstreams");
+            request.upstreams().forEach(upstreams::add);
         }
-        return all;
+        return body;
     }
 
-    private static JsonNode problem(String text) {
+    private static JsonNode errorBody(String text) {
         return JsonText.nodes().objectNode().put("problem", text);
     }
 }
--- a/library/src/main/java/org/copperspindle/dialect/StageCallFormat.java
+++ b/library/src/main/java/org/copperspindle/dialect/StageCallFormat.java
@@ -7,45 +7,45 @@
 import org.copperspindle.batch.StageItem;
 
 /**
- * How a deployment writes the calls of its stage upstreams.
+ * Format of the calls to the stage upstreams of a deployment.
  */
 public interface StageCallFormat {
 
     /**
-     * Returns where pieces are asked for.
+     * Returns the path of calls that run pieces.
      *
      * @return a path
      */
     String runPath();
 
     /**
-     * Returns where results are given up.
+     * Returns the path of calls that release results.
      *
      * @return a path
      */
     String freePath();
 
     /**
-     * Writes a call.
+     * Writes the body of a call that runs pieces.
      *
-     * @param items its pieces
+     * @param items the pieces of the call
      * @return the body
      */
     JsonNode write(List<StageItem> items);
 
     /**
-     * Writes which results are given up.
+     * Writes the body of a call that releases results.
      *
-     * @param handles their handles
+     * @param handles handles of the results
      * @return the body
      */
     JsonNode writeFreed(List<String> handles);
 
     /**
-     * Reads an answer.
+     * Reads the response to a call that ran pieces.
      *
-     * @param body its body
-     * @return what became of the pieces, in their order
+     * @param body body of the response
+     * @return outcomes of the pieces, in their order
      */
     List<PieceOutcome> read(JsonNode body);
 }
--- a/library/src/main/java/org/copperspindle/dialect/StandardControlFormat.java
+++ b/library/src/main/java/org/copperspindle/dialect/StandardControlFormat.java
@@ -4,7 +4,7 @@
 import org.copperspindle.discovery.UpstreamRecord;
 
 /**
- * The project's own calls of operators and upstreams.
+ * The default format of control requests.
  */
 final class StandardControlFormat implements ControlFormat {
 
--- a/library/src/main/java/org/copperspindle/dialect/StandardDialects.java
+++ b/library/src/main/java/org/copperspindle/dialect/StandardDialects.java
@@ -11,7 +11,7 @@
 import org.copperspindle.time.TimerService;
 
 /**
- * All that is spoken where a deployment has no ways of its own.
+ * The default formats, for deployments without formats of their own.
  */
 public final class StandardDialects implements GatewayDialects {
 
@@ -27,7 +27,7 @@
 
     @Override
     public RouteTableReader tableReader() {
-        return new StandardTables();
+        return new StandardTableReader();
     }
 
     @Override
@@ -36,7 +36,7 @@
     }
 
     @Override
-    public HttpRequestHandler controlEndpoint(ControlRequestHandler desk) {
-        return new HttpControlEndpoint(desk, new StandardControlFormat());
+    public HttpRequestHandler controlEndpoint(ControlRequestHandler handler) {
+        return new HttpControlEndpoint(handler, new StandardControlFormat());
     }
 }
--- a/library/src/main/java/org/copperspindle/dialect/StandardStageFormat.java
+++ b/library/src/main/java/org/copperspindle/dialect/StandardStageFormat.java
@@ -12,7 +12,7 @@
 import org.copperspindle.batch.StageItem;
 
 /**
- * The project's own calls of stage upstreams.
+ * The default format of calls to stage upstreams.
  */
 final class StandardStageFormat implements StageCallFormat {
 
@@ -67,7 +67,7 @@
         return outcomes;
     }
 
-    /** Reasons are written like {@code input-gone}; one that this build does not know counts as a failure. */
+    /** Parses a reason such as {@code input-gone}; one unknown to this build counts as a failure. */
     private static MissReason reason(String text) {
         String name = text.toUpperCase(Locale.ROOT).replace('-', '_');
         for (MissReason reason : MissReason.values()) {
--- a/library/src/main/java/org/copperspindle/dialect/StandardTableReader.java
+++ b/library/src/main/java/org/copperspindle/dialect/StandardTableReader.java
@@ -30,26 +30,27 @@
  * Reads route tables written in INI: sections {@code [table]}, {@code [limits]}, {@code [account NAME]},
  * {@code [pool NAME]}, {@code [route NAME]}, and {@code [stage ROUTE/NUMBER]}.
  */
-public final class StandardTables implements RouteTableReader {
+public final class StandardTableReader implements RouteTableReader {
 
-    private static final List<String> KINDS = List.of("table", "limits", "account", "pool", "route", "stage");
-    private static final int MOST = 1_000_000;
-    private static final int MOST_ATTEMPTS = 10;
-    private static final int MOST_RANK = 9;
+    private static final List<String> SECTION_KINDS = List.of("table", "limits", "account", "pool", "route", "stage");
+    private static final int MAX_COUNT = 1_000_000;
+    private static final int MAX_ATTEMPTS = 10;
+    private static final int MAX_RANK = 9;
 
     @Override
     public RouteTableResult read(byte[] text) {
         try {
             SettingsFile file = SettingsFile.parse("table", new String(text, StandardCharsets.UTF_8));
-            List<UpstreamPool> pools =
-                    file.sections("pool").stream().map(StandardTables::pool).toList();
+            List<UpstreamPool> pools = file.sections("pool").stream()
+                    .map(StandardTableReader::pool)
+                    .toList();
             RouteTable table = new RouteTable(
                     version(file.section("table")),
                     file.sections("route").stream().map(s -> route(file, s)).toList(),
                     pools,
                     accounts(file),
                     limits(file));
-            file.finish(KINDS);
+            file.finish(SECTION_KINDS);
             return RouteTableCheck.findProblem(
                             table, pools.stream().map(UpstreamPool::name).toList())
                     .<RouteTableResult>map(RouteTableResult.Invalid::new)
@@ -74,9 +75,9 @@
                 s.getEnum("kind", RouteKind.class, Optional.empty()),
                 s.getDuration("timeout", Optional.empty()),
                 s.getDuration("objective", Optional.empty()),
-                (int) s.getLong("rank", 0, MOST_RANK, Optional.of(0L)),
+                (int) s.getLong("rank", 0, MAX_RANK, Optional.of(0L)),
                 weights(s),
-                (int) s.getLong("max-attempts", 1, MOST_ATTEMPTS, Optional.of(1L)),
+                (int) s.getLong("max-attempts", 1, MAX_ATTEMPTS, Optional.of(1L)),
                 stages(file, s.subject()),
                 s.getBoolean("open", Optional.of(false)),
                 s.getBoolean("resumable", Optional.of(false)),
@@ -85,7 +86,7 @@
         return route;
     }
 
-    /** Pools are written as {@code a:90, b:10}; one without a weight has 1. */
+    /** Reads pools written as {@code a:90, b:10}; one without a weight has weight 1. */
     private static List<WeightedPool> weights(SettingsSection s) {
         String expected = "POOL:WEIGHT of each pool, separated by commas";
         List<WeightedPool> pools = new ArrayList<>();
@@ -105,7 +106,7 @@
         for (int number = 0; file.has("stage " + route + '/' + number); number++) {
             SettingsSection s = file.section("stage " + route + '/' + number);
             stages.add(new RouteStage(
-                    s.getString("pool", "a pool whose upstreams make pieces"),
+                    s.getString("pool", "a pool whose upstreams run pieces"),
                     after(s),
                     s.getBytes("result-size", Optional.empty())));
             s.finish();
@@ -127,30 +128,30 @@
     }
 
     private static UpstreamPool pool(SettingsSection s) {
-        int slots = (int) s.getLong("engine-slots", 0, MOST, Optional.of(0L));
-        int batch = (int) s.getLong("pieces-in-a-call", 0, MOST, Optional.of(0L));
+        int engineSlots = (int) s.getLong("engine-slots", 0, MAX_COUNT, Optional.of(0L));
+        int maxPieces = (int) s.getLong("pieces-in-a-call", 0, MAX_COUNT, Optional.of(0L));
         UpstreamPool pool = new UpstreamPool(
                 s.subject(),
-                (int) s.getLong("max-connections", 1, MOST, Optional.of(100L)),
-                batch > 0 ? Optional.of(batch(s, batch)) : Optional.empty(),
-                slots > 0 ? OptionalInt.of(slots) : OptionalInt.empty(),
+                (int) s.getLong("max-connections", 1, MAX_COUNT, Optional.of(100L)),
+                maxPieces > 0 ? Optional.of(batch(s, maxPieces)) : Optional.empty(),
+                engineSlots > 0 ? OptionalInt.of(engineSlots) : OptionalInt.empty(),
                 cold(s));
         s.finish();
         return pool;
     }
 
-    /** Without a rate cold upstreams bear as much as others. */
+    /** Reads the limits of cold upstreams; without a rate, cold upstreams sustain as much as others. */
     private static Optional<ColdLimits> cold(SettingsSection s) {
-        double perSecond = s.getDouble("cold-per-second", 0, MOST, Optional.of(0.0));
+        double perSecond = s.getDouble("cold-per-second", 0, MAX_COUNT, Optional.of(0.0));
         Duration time = s.getDuration("cold-time", Optional.of(Duration.ZERO));
         return ColdLimits.ofRate(time, perSecond);
     }
 
-    private static BatchLimits batch(SettingsSection s, int batch) {
+    private static BatchLimits batch(SettingsSection s, int maxPieces) {
         return new BatchLimits(
-                (int) s.getLong("calls-at-once", 1, MOST, Optional.of(1L)),
-                (int) s.getLong("calls-waiting", 0, MOST, Optional.of(0L)),
-                batch,
+                (int) s.getLong("calls-at-once", 1, MAX_COUNT, Optional.of(1L)),
+                (int) s.getLong("calls-waiting", 0, MAX_COUNT, Optional.of(0L)),
+                maxPieces,
                 s.getDuration("call-time", Optional.empty()).toNanos(),
                 s.getDuration("piece-time", Optional.empty()).toNanos(),
                 s.getBytes("result-memory", Optional.empty()),
@@ -158,11 +159,11 @@
                 s.getBytes("link-per-second", Optional.of(0L)));
     }
 
-    /** Without any account no request needs a key. */
+    /** Reads the client accounts; without any, no request needs a key. */
     private static Optional<List<ClientAccount>> accounts(SettingsFile file) {
         List<ClientAccount> accounts = new ArrayList<>();
         for (SettingsSection s : file.sections("account")) {
-            int rank = (int) s.getLong("rank", -1, MOST_RANK, Optional.of(-1L));
+            int rank = (int) s.getLong("rank", -1, MAX_RANK, Optional.of(-1L));
             accounts.add(new ClientAccount(
                     s.subject(),
                     s.getList("keys", "keys, separated by commas", Optional.of(List.of())),
@@ -173,16 +174,16 @@
     }
 
     private static CallerLimits limits(SettingsFile file) {
-        CallerLimits d = CallerLimits.DEFAULT;
+        CallerLimits defaults = CallerLimits.DEFAULT;
         if (!file.has("limits")) {
-            return d;
+            return defaults;
         }
         SettingsSection s = file.section("limits");
         CallerLimits limits = new CallerLimits(
-                (int) s.getBytes("max-header", 256, 256 << 10, Optional.of((long) d.maxHeaderBytes())),
-                (int) s.getBytes("max-body", 1, 64 << 20, Optional.of((long) d.maxBodyBytes())),
-                s.getDuration("header-timeout", Optional.of(d.headerTimeout())),
-                s.getDuration("idle-timeout", Optional.of(d.idleTimeout())));
+                (int) s.getBytes("max-header", 256, 256 << 10, Optional.of((long) defaults.maxHeaderBytes())),
+                (int) s.getBytes("max-body", 1, 64 << 20, Optional.of((long) defaults.maxBodyBytes())),
+                s.getDuration("header-timeout", Optional.of(defaults.headerTimeout())),
+                s.getDuration("idle-timeout", Optional.of(defaults.idleTimeout())));
         s.finish();
         return limits;
     }
--- a/library/src/main/java/org/copperspindle/dialect/package-info.java
+++ b/library/src/main/java/org/copperspindle/dialect/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What callers, upstreams and operators of a node speak: HTTP header fields and JSON bodies whose names a deployment may
- * choose, and the project's own choice of them.
+ * Wire formats between a node and its callers, upstreams and operators: HTTP header fields and JSON bodies whose names
+ * a deployment may choose, and a default choice of these names.
  */
 package org.copperspindle.dialect;
--- a/library/src/main/java/org/copperspindle/direct/ConnectionUse.java
+++ b/library/src/main/java/org/copperspindle/direct/ConnectionUse.java
@@ -1,14 +1,17 @@
 package org.copperspindle.direct;
 
 /**
- * On which connection a call may go out.
+ * Whether a call may be sent on a kept connection.
  */
 public enum ConnectionUse {
     /**
-     * On a new one. A kept connection may have been closed by the upstream or have gone silent; a call lost with it may
-     * have run, and one that must not run twice could not be sent again.
+     * On a new connection. A kept one may have been closed by the upstream or may not respond any more; a call lost
+     * with it may have run, and one that must not run twice could not be sent again.
      */
     NEW,
-    /** On a kept one if there is any; a call that is lost with it before any answer is sent once more on a new one. */
+    /**
+     * On a kept connection if there is one; a call that is lost with it before any response is sent once more on a new
+     * one.
+     */
     KEPT
 }
--- a/library/src/main/java/org/copperspindle/direct/DirectCall.java
+++ b/library/src/main/java/org/copperspindle/direct/DirectCall.java
@@ -5,16 +5,16 @@
 import org.copperspindle.http.HeaderField;
 
 /**
- * One call of an upstream.
+ * One call to an upstream.
  *
- * @param upstream  id of the upstream that is meant
+ * @param upstream  id of the intended upstream
  * @param address   IP:PORT
  * @param method    HTTP method
- * @param uri       target as it goes into the request line
- * @param fields    all header fields but those of the body's framing
+ * @param uri       target in the request line
+ * @param fields    all header fields but those for the framing of the body
  * @param body      body, empty for none
- * @param requestId id that the answer must repeat, empty if answers carry none
- * @param use       on which connection it may go out
+ * @param requestId id that the response must repeat, empty if responses carry none
+ * @param use       on which connection it may be sent
  */
 public record DirectCall(
         String upstream,
--- a/library/src/main/java/org/copperspindle/direct/DirectClient.java
+++ b/library/src/main/java/org/copperspindle/direct/DirectClient.java
@@ -24,51 +24,52 @@
 import org.copperspindle.wire.NumericAddress;
 
 /**
- * The connections of one node to all upstreams. Network thread only.
+ * The connections of one node to all upstreams. Used on the network thread only.
  */
 public final class DirectClient implements UpstreamPort, ListenCheck {
 
     /**
-     * Longest wait for a new connection; milliseconds. A connection within a region takes a few; a lost opening packet is
-     * sent again after a second, and another upstream is tried before that.
+     * Maximum time to open a connection, in milliseconds. Within a region it takes a few; a lost SYN is sent again
+     * after a second, and another upstream is tried before that.
      */
     private static final int CONNECT_TIMEOUT_MILLIS = 400;
 
     /**
-     * A connection that its upstream had closed shows that within a round trip, and the upstream has not seen the call. Lost
-     * later, the upstream may have worked on it: whether it is sent once more is for its caller's budget of repeats.
+     * Time after sending within which the loss of a kept connection means that the upstream had closed it before: that
+     * shows within a round trip, and the upstream has not seen the call. If it is lost later, the upstream may have
+     * worked on the call, and whether to send it once more is up to the retry budget of its sender.
      */
-    private static final long STALE_NANOS = Duration.ofMillis(100).toNanos();
+    private static final long STALE_DETECTION_NANOS = Duration.ofMillis(100).toNanos();
 
-    private static final long SWEEP_NANOS = Duration.ofSeconds(1).toNanos();
-    private static final int MAX_LINE = 8192;
-    private static final int MAX_HEADER = 32768;
-    private static final int MAX_CHUNK = 65536;
+    private static final long SWEEP_INTERVAL_NANOS = Duration.ofSeconds(1).toNanos();
+    private static final int MAX_LINE_BYTES = 8192;
+    private static final int MAX_HEADER_BYTES = 32768;
+    private static final int MAX_CHUNK_BYTES = 65536;
 
     private final EventLoop loop;
     private final TimerService timers;
-    private final IdleConnections bound;
-    private final DeferredTask sweep;
-    private final Map<String, Deque<DirectConnection>> idle = new HashMap<>();
-    private final Owner owner = new Owner();
+    private final IdleConnectionLimit idleLimit;
+    private final DeferredTask sweepTask;
+    private final Map<String, Deque<DirectConnection>> idleByAddress = new HashMap<>();
+    private final IdlePool idlePool = new IdlePool();
     private long connects;
 
     /**
      * Creates a client without connections.
      *
-     * @param loop   network thread
-     * @param timers time on it
-     * @param bound  how many idle connections are kept
+     * @param loop      network thread
+     * @param timers    timers on the network thread
+     * @param idleLimit limits how many idle connections are kept
      */
-    public DirectClient(EventLoop loop, TimerService timers, IdleConnections bound) {
+    public DirectClient(EventLoop loop, TimerService timers, IdleConnectionLimit idleLimit) {
         this.loop = loop;
         this.timers = timers;
-        this.bound = bound;
-        this.sweep = new DeferredTask(timers, this::sweep);
+        this.idleLimit = idleLimit;
+        this.sweepTask = new DeferredTask(timers, this::sweep);
     }
 
     /**
-     * Returns how many connections were opened.
+     * Returns how many connections have been opened.
      *
      * @return a count
      */
@@ -82,7 +83,7 @@
         if (call.use() == ConnectionUse.KEPT) {
             DirectConnection kept = takeIdle(call.address());
             if (kept != null) {
-                exchange.sentAt(timers.nanoTime());
+                exchange.sentOnKeptAt(timers.nanoTime());
                 kept.use(exchange);
                 return exchange;
             }
@@ -100,8 +101,8 @@
     }
 
     private DirectConnection takeIdle(String address) {
-        Deque<DirectConnection> kept = idle.get(address);
-        // The one used last is the least likely to have been closed by the upstream.
+        Deque<DirectConnection> kept = idleByAddress.get(address);
+        // The most recently used connection is the least likely to have been closed by the upstream.
         while (kept != null && !kept.isEmpty()) {
             DirectConnection connection = kept.pollLast();
             if (connection.isFresh(timers.nanoTime())) {
@@ -113,9 +114,9 @@
     }
 
     private void connect(DirectExchange exchange) {
-        DirectConnection connection = new DirectConnection(exchange.call().address(), owner);
+        DirectConnection connection = new DirectConnection(exchange.call().address(), idlePool);
         open(exchange.call().address(), new Initializer(connection))
-                .addListener((ChannelFuture done) -> connected(exchange, connection, done));
+                .addListener((ChannelFuture done) -> onConnected(exchange, connection, done));
     }
 
     private ChannelFuture open(String address, ChannelHandler handler) {
@@ -137,29 +138,29 @@
         return silent ? ListenState.SILENT : ListenState.REFUSES;
     }
 
-    private static void connected(DirectExchange exchange, DirectConnection connection, ChannelFuture done) {
+    private static void onConnected(DirectExchange exchange, DirectConnection connection, ChannelFuture done) {
         if (!done.isSuccess()) {
-            exchange.lose("connect-failed");
+            exchange.failWithConnection("connect-failed");
         } else if (exchange.hasEnded()) {
             connection.close();
         } else {
-            exchange.connected();
+            exchange.onConnected();
             connection.use(exchange);
         }
     }
 
     private void sweep() {
         long now = timers.nanoTime();
-        idle.forEach((address, kept) -> {
-            // Fewer are allowed once other nodes have joined.
-            int most = bound.most(address);
-            while (!kept.isEmpty() && (kept.size() > most || !kept.peekFirst().isFresh(now))) {
+        idleByAddress.forEach((address, kept) -> {
+            // The limit falls when other nodes join.
+            int max = idleLimit.maxIdle(address);
+            while (!kept.isEmpty() && (kept.size() > max || !kept.peekFirst().isFresh(now))) {
                 kept.pollFirst().close();
             }
         });
-        idle.values().removeIf(Deque::isEmpty);
-        if (!idle.isEmpty()) {
-            sweep.schedule(SWEEP_NANOS);
+        idleByAddress.values().removeIf(Deque::isEmpty);
+        if (!idleByAddress.isEmpty()) {
+            sweepTask.schedule(SWEEP_INTERVAL_NANOS);
         }
     }
 
@@ -173,27 +174,28 @@
 
         @Override
         protected void initChannel(SocketChannel channel) {
-            channel.pipeline().addLast(new HttpClientCodec(MAX_LINE, MAX_HEADER, MAX_CHUNK), connection);
+            channel.pipeline()
+                    .addLast(new HttpClientCodec(MAX_LINE_BYTES, MAX_HEADER_BYTES, MAX_CHUNK_BYTES), connection);
         }
     }
 
-    /** Keeps the idle connections. */
-    private final class Owner implements DirectConnection.Owner {
+    /** Keeps the idle connections of this client. */
+    private final class IdlePool implements DirectConnection.Pool {
         @Override
         public void idle(DirectConnection connection) {
-            Deque<DirectConnection> kept = idle.computeIfAbsent(connection.address(), a -> new ArrayDeque<>());
-            if (kept.size() >= bound.most(connection.address())) {
+            Deque<DirectConnection> kept = idleByAddress.computeIfAbsent(connection.address(), a -> new ArrayDeque<>());
+            if (kept.size() >= idleLimit.maxIdle(connection.address())) {
                 connection.close();
                 return;
             }
             connection.idleSince(timers.nanoTime());
             kept.addLast(connection);
-            sweep.schedule(SWEEP_NANOS);
+            sweepTask.schedule(SWEEP_INTERVAL_NANOS);
         }
 
         @Override
         public void closed(DirectConnection connection) {
-            Deque<DirectConnection> kept = idle.get(connection.address());
+            Deque<DirectConnection> kept = idleByAddress.get(connection.address());
             if (kept != null) {
                 kept.remove(connection);
             }
@@ -201,10 +203,10 @@
 
         @Override
         public void resend(DirectExchange exchange) {
-            if (timers.nanoTime() - exchange.sentAt() < STALE_NANOS) {
+            if (timers.nanoTime() - exchange.sentAt() < STALE_DETECTION_NANOS) {
                 connect(exchange);
             } else {
-                exchange.lose("connection-closed");
+                exchange.failWithConnection("connection-closed");
             }
         }
     }
--- a/library/src/main/java/org/copperspindle/direct/DirectConnection.java
+++ b/library/src/main/java/org/copperspindle/direct/DirectConnection.java
@@ -23,7 +23,7 @@
 
 /**
  * One connection to an upstream, with one call at a time. It is closed at the first byte that belongs to no call: a
- * second answer, or bytes behind the first, would else be taken for the answer to the next call.
+ * second response, or bytes after the first, would otherwise be taken for the response to the next call.
  */
 final class DirectConnection extends SimpleChannelInboundHandler<HttpObject> {
 
@@ -33,26 +33,26 @@
     private static final String TIMEOUT_PARAMETER = "timeout=";
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
-    /** Idle time that is risked at an upstream that does not state its own; below what servers commonly allow. */
-    private static final long DEFAULT_IDLE_NANOS = 3 * NANOS_PER_SECOND;
+    /** Idle timeout assumed for an upstream that does not state its own; below what servers commonly allow. */
+    private static final long DEFAULT_IDLE_TIMEOUT_NANOS = 3 * NANOS_PER_SECOND;
 
     private final String address;
-    private final Owner owner;
+    private final Pool pool;
     private Channel channel;
     private DirectExchange exchange;
     private boolean usedBefore;
-    private boolean written;
+    private boolean requestWritten;
     private boolean reset;
-    private boolean skipping;
+    private boolean skippingInterim;
     private boolean keepAlive;
-    private boolean endsWithConnection;
-    private boolean done;
-    private long idleNanos = DEFAULT_IDLE_NANOS;
+    private boolean closeDelimited;
+    private boolean responseComplete;
+    private long idleTimeoutNanos = DEFAULT_IDLE_TIMEOUT_NANOS;
     private long idleSince;
 
-    DirectConnection(String address, Owner owner) {
+    DirectConnection(String address, Pool pool) {
         this.address = address;
-        this.owner = owner;
+        this.pool = pool;
     }
 
     String address() {
@@ -62,20 +62,23 @@
     /** Sends a call. */
     void use(DirectExchange next) {
         exchange = next;
-        written = false;
-        done = false;
+        requestWritten = false;
+        responseComplete = false;
         next.sendingOn(this);
         channel.writeAndFlush(request(next.call())).addListener(result -> {
-            written = result.isSuccess();
-            if (!written) {
+            requestWritten = result.isSuccess();
+            if (!requestWritten) {
                 channel.close();
             }
         });
     }
 
-    /** Says whether a call may still be risked on it: half of the time that the upstream allows it to be idle. */
+    /**
+     * Returns whether another call may be sent on it: it has been idle for less than half of the time that the
+     * upstream allows.
+     */
     boolean isFresh(long now) {
-        return channel.isActive() && now - idleSince < idleNanos / 2;
+        return channel.isActive() && now - idleSince < idleTimeoutNanos / 2;
     }
 
     void idleSince(long now) {
@@ -86,7 +89,7 @@
         channel.close();
     }
 
-    /** Closes the connection without a word to its call, which nobody waits for any more. */
+    /** Closes the connection without notifying its call, whose result nobody waits for any more. */
     void abandon() {
         exchange = null;
         channel.close();
@@ -99,7 +102,7 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
-        if (exchange == null || done) {
+        if (exchange == null || responseComplete) {
             if (channel.isActive() && !(part instanceof LastHttpContent)) {
                 LOGGER.warn("event=stray-bytes upstream={} action=connection-closed", address);
             }
@@ -107,7 +110,7 @@
             return;
         }
         if (part.decoderResult().isFailure()) {
-            spoil("malformed-response");
+            failResponse("malformed-response");
             return;
         }
         if (part instanceof HttpResponse head) {
@@ -120,7 +123,7 @@
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        if (done) {
+        if (responseComplete) {
             finish();
         }
         ctx.fireChannelReadComplete();
@@ -130,28 +133,29 @@
     public void channelInactive(ChannelHandlerContext ctx) {
         DirectExchange lost = exchange;
         exchange = null;
-        owner.closed(this);
+        pool.closed(this);
         if (lost == null || lost.hasEnded()) {
             return;
         }
-        if (usedBefore && lost.mayResend()) {
-            owner.resend(lost);
+        if (usedBefore && lost.tryResend()) {
+            pool.resend(lost);
             return;
         }
-        lost.lose(reset ? "connection-reset" : "connection-closed");
+        lost.failWithConnection(reset ? "connection-reset" : "connection-closed");
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        // A reset can come before the end of a body that ends with its connection; that body is cut, not whole.
+        // A reset can arrive before the end of a body that is delimited by the close of the connection; that body is
+        // incomplete.
         reset = true;
         LOGGER.debug("event=upstream-connection-failed upstream={} reason=\"{}\"", address, cause.toString());
         ctx.close();
     }
 
     private void receiveHead(HttpResponse head) {
-        skipping = head.status().codeClass() == HttpStatusClass.INFORMATIONAL;
-        if (skipping) {
+        skippingInterim = head.status().codeClass() == HttpStatusClass.INFORMATIONAL;
+        if (skippingInterim) {
             return;
         }
         DirectHead received = new DirectHead(
@@ -160,21 +164,24 @@
                         .map(e -> new HeaderField(e.getKey(), e.getValue()))
                         .toList());
         if (!answersCall(received)) {
-            spoil("response-to-another-request");
+            failResponse("response-to-another-request");
             return;
         }
-        boolean framed = HttpUtil.isTransferEncodingChunked(head)
+        boolean delimited = HttpUtil.isTransferEncodingChunked(head)
                 || head.headers().contains(HttpHeaderNames.CONTENT_LENGTH)
                 || head.status().code() == 204
                 || head.status().code() == 304;
-        endsWithConnection = !framed;
-        // An answer that came before the whole request was out leaves the rest of the request on the connection.
-        keepAlive = HttpUtil.isKeepAlive(head) && framed && written;
+        closeDelimited = !delimited;
+        // If the response arrived before the whole request was written, the rest of the request is still on the
+        // connection.
+        keepAlive = HttpUtil.isKeepAlive(head) && delimited && requestWritten;
         received.field(KEEP_ALIVE).ifPresent(this::readIdleTimeout);
         exchange.onHead(received);
     }
 
-    /** Success must name the call; an error made before the request was read may not know it. */
+    /**
+     * A successful response must repeat the id of the call; an error from before the request was read may not know it.
+     */
     private boolean answersCall(DirectHead head) {
         String expected = exchange.call().requestId();
         if (expected.isEmpty()) {
@@ -188,7 +195,7 @@
             String text = parameter.trim();
             if (text.startsWith(TIMEOUT_PARAMETER)) {
                 try {
-                    idleNanos = Long.parseLong(text.substring(TIMEOUT_PARAMETER.length())) * NANOS_PER_SECOND;
+                    idleTimeoutNanos = Long.parseLong(text.substring(TIMEOUT_PARAMETER.length())) * NANOS_PER_SECOND;
                 } catch (NumberFormatException e) {
                     LOGGER.debug("event=keep-alive-unreadable upstream={} value=\"{}\"", address, value);
                 }
@@ -198,8 +205,8 @@
 
     private void receiveContent(HttpContent content) {
         boolean last = content instanceof LastHttpContent;
-        if (skipping) {
-            skipping = !last;
+        if (skippingInterim) {
+            skippingInterim = !last;
             return;
         }
         ByteBuf buffer = content.content();
@@ -211,17 +218,17 @@
         if (!last || exchange == null) {
             return;
         }
-        if (endsWithConnection && reset) {
-            // Not whole, and the end of the connection, which comes next, tells so.
+        if (closeDelimited && reset) {
+            // The body is incomplete; the close of the connection, which comes next, fails the call.
             return;
         }
-        done = true;
-        if (endsWithConnection) {
+        responseComplete = true;
+        if (closeDelimited) {
             finish();
         }
     }
 
-    private void spoil(String reason) {
+    private void failResponse(String reason) {
         DirectExchange failed = exchange;
         exchange = null;
         LOGGER.warn(
@@ -236,10 +243,10 @@
     private void finish() {
         DirectExchange ended = exchange;
         exchange = null;
-        done = false;
+        responseComplete = false;
         usedBefore = true;
         if (keepAlive && channel.isActive()) {
-            owner.idle(this);
+            pool.idle(this);
         } else {
             channel.close();
         }
@@ -263,15 +270,15 @@
         return request;
     }
 
-    /** Who hands out the connections. */
-    interface Owner {
+    /** Hands out the connections, and takes them back. */
+    interface Pool {
         /** The connection can carry another call. */
         void idle(DirectConnection connection);
 
-        /** The connection is gone. */
+        /** The connection has been closed. */
         void closed(DirectConnection connection);
 
-        /** The call was lost with a kept connection and goes out on a new one. */
+        /** The call was lost with a kept connection and is to be sent on a new one. */
         void resend(DirectExchange exchange);
     }
 }
--- a/library/src/main/java/org/copperspindle/direct/DirectExchange.java
+++ b/library/src/main/java/org/copperspindle/direct/DirectExchange.java
@@ -3,7 +3,8 @@
 import org.copperspindle.direct.UpstreamPort.CallHandle;
 
 /**
- * One call on its way, over one connection after another until one has carried it. Network thread only.
+ * One call in progress, on a kept connection and, if it is lost with that, on a new one. Used on the network thread
+ * only.
  */
 final class DirectExchange implements CallHandle {
 
@@ -11,10 +12,10 @@
     private final DirectListener listener;
     private DirectConnection connection;
     private boolean sent;
-    private boolean headSeen;
+    private boolean headReceived;
     private boolean ended;
     private boolean resent;
-    private boolean kept;
+    private boolean onKeptConnection;
     private long sentAt;
 
     DirectExchange(DirectCall call, DirectListener listener) {
@@ -33,15 +34,15 @@
         }
     }
 
-    /** Notes when the call goes out on a kept connection, in nanoseconds of monotonic time. */
-    void sentAt(long now) {
-        kept = true;
+    /** Records that the call is sent on a kept connection, at a time in nanoseconds of the monotonic clock. */
+    void sentOnKeptAt(long now) {
+        onKeptConnection = true;
         sentAt = now;
     }
 
-    /** Notes that a new connection was opened for the call: its upstream is there. */
-    void connected() {
-        kept = false;
+    /** Records that a new connection was opened for the call, so that its upstream is reachable. */
+    void onConnected() {
+        onKeptConnection = false;
     }
 
     long sentAt() {
@@ -56,14 +57,14 @@
         return ended;
     }
 
-    /** The call is about to be written: from here on the upstream may run it. */
+    /** Records that the call is about to be written: from now on the upstream may run it. */
     void sendingOn(DirectConnection used) {
         connection = used;
         sent = true;
     }
 
     void onHead(DirectHead head) {
-        headSeen = true;
+        headReceived = true;
         if (!ended) {
             listener.onHead(head);
         }
@@ -82,12 +83,12 @@
         }
     }
 
-    /** Ends the call because its connection ended or could not be opened. */
-    void lose(String reason) {
-        end(new DirectFailure(sent, true, kept && !headSeen, reason));
+    /** Fails the call because its connection ended or could not be opened. */
+    void failWithConnection(String reason) {
+        end(new DirectFailure(sent, true, onKeptConnection && !headReceived, reason));
     }
 
-    /** Ends the call because of what came over its connection. */
+    /** Fails the call because of what was received on its connection. */
     void fail(String reason) {
         end(new DirectFailure(sent, false, false, reason));
     }
@@ -99,9 +100,9 @@
         }
     }
 
-    /** Says whether a call that was lost with a kept connection goes out once more, and notes that it does. */
-    boolean mayResend() {
-        if (ended || headSeen || resent || call.use() == ConnectionUse.NEW) {
+    /** Returns whether a call that was lost with a kept connection is to be sent once more, and records that it is. */
+    boolean tryResend() {
+        if (ended || headReceived || resent || call.use() == ConnectionUse.NEW) {
             return false;
         }
         resent = true;
--- a/library/src/main/java/org/copperspindle/direct/DirectFailure.java
+++ b/library/src/main/java/org/copperspindle/direct/DirectFailure.java
@@ -1,14 +1,13 @@
 package org.copperspindle.direct;
 
 /**
- * A call that got no whole answer.
+ * Failure of a call that got no complete response.
  *
- * @param sent           false if no byte of it left, so that it cannot have run
- * @param connectionLost true if its connection ended or could not be opened; false if this side broke it off for what
- *                       came over it
- * @param possiblyStale  true if it went out on a connection that was kept, and nothing came back on that one: the
- *                       upstream may have been
- *                       gone before
- * @param reason         what happened, in short
+ * @param sent           false if no byte of the call was sent, so that it cannot have run
+ * @param connectionLost true if the connection ended or could not be opened; false if this side closed it because of
+ *                       what it received
+ * @param possiblyStale  true if the call was sent on a kept connection and nothing was received on it: the upstream
+ *                       may have been gone before
+ * @param reason         short cause
  */
 public record DirectFailure(boolean sent, boolean connectionLost, boolean possiblyStale, String reason) {}
--- a/library/src/main/java/org/copperspindle/direct/DirectHead.java
+++ b/library/src/main/java/org/copperspindle/direct/DirectHead.java
@@ -6,14 +6,14 @@
 import org.copperspindle.http.HeaderField;
 
 /**
- * Status and header fields of an upstream's answer.
+ * Status and header fields of an upstream's response.
  *
  * @param status HTTP status
- * @param fields all header fields as they came
+ * @param fields all header fields as received
  */
 public record DirectHead(int status, List<HeaderField> fields) {
 
-    private static final int HUNDRED = 100;
+    private static final int STATUSES_PER_CLASS = 100;
     private static final int SUCCESS_CLASS = 2;
 
     /** Copies the list. */
@@ -35,7 +35,7 @@
      * Finds all fields of a name.
      *
      * @param name the name
-     * @return their values in the order in which they came
+     * @return their values in the order in which they were received
      */
     public List<String> values(String name) {
         return fields.stream()
@@ -45,11 +45,11 @@
     }
 
     /**
-     * Says whether the status is a success.
+     * Returns whether the status is a success.
      *
      * @return true for 2xx
      */
     public boolean isSuccess() {
-        return status / HUNDRED == SUCCESS_CLASS;
+        return status / STATUSES_PER_CLASS == SUCCESS_CLASS;
     }
 }
--- a/library/src/main/java/org/copperspindle/direct/DirectListener.java
+++ b/library/src/main/java/org/copperspindle/direct/DirectListener.java
@@ -1,32 +1,32 @@
 package org.copperspindle.direct;
 
 /**
- * Receives the answer to a call, on the network thread: a head, data, then the end; or at any moment a failure, which
- * ends it. Nothing comes after the end or the failure.
+ * Receives the response to a call, on the network thread: a head, data, then the end; or at any moment a failure.
+ * Nothing follows the end or the failure.
  */
 public interface DirectListener {
 
     /**
-     * The head arrived, and it belongs to this call.
+     * The head was received, and it belongs to this call.
      *
      * @param head status and fields
      */
     void onHead(DirectHead head);
 
     /**
-     * A part of the body arrived.
+     * A part of the body was received.
      *
      * @param data its bytes, not changed afterwards
      */
     void onData(byte[] data);
 
-    /** The framing shows that the answer is whole. */
+    /** The response is complete according to its framing. */
     void onEnd();
 
     /**
-     * There will be no whole answer.
+     * The call failed; there will be no complete response.
      *
-     * @param failure what is known
+     * @param failure what is known of the failure
      */
     void onFailure(DirectFailure failure);
 }
--- a/library/src/main/java/org/copperspindle/direct/IdleConnectionLimit.java
+++ b/library/src/main/java/org/copperspindle/direct/IdleConnectionLimit.java
@@ -1,17 +1,17 @@
 package org.copperspindle.direct;
 
 /**
- * The bound on idle connections that a node keeps to an upstream. They count against what the upstream accepts from all
- * nodes together.
+ * Limit on the idle connections that a node keeps to an upstream. They count against the connections that the upstream
+ * accepts from all nodes together.
  */
 @FunctionalInterface
-public interface IdleConnections {
+public interface IdleConnectionLimit {
 
     /**
-     * Returns the bound for one upstream.
+     * Returns the maximum number of idle connections to one upstream.
      *
      * @param address IP:PORT of the upstream
      * @return a count, 0 if each call needs a new connection
      */
-    int most(String address);
+    int maxIdle(String address);
 }
--- a/library/src/main/java/org/copperspindle/direct/ListenState.java
+++ b/library/src/main/java/org/copperspindle/direct/ListenState.java
@@ -1,13 +1,13 @@
 package org.copperspindle.direct;
 
 /**
- * What an attempt to connect to an address shows.
+ * Result of an attempt to connect to an address.
  */
 public enum ListenState {
-    /** The VM says that no process listens there. */
+    /** The VM refuses the connection: no process listens there. */
     REFUSES,
     /** A process listens there. */
     LISTENS,
-    /** Nothing came back: the VM is down, or the link to it is cut. */
+    /** There was no reply: the VM is down or cannot be reached. */
     SILENT
 }
--- a/library/src/main/java/org/copperspindle/direct/UpstreamPort.java
+++ b/library/src/main/java/org/copperspindle/direct/UpstreamPort.java
@@ -6,21 +6,21 @@
 public interface UpstreamPort {
 
     /**
-     * Sends a call. The listener may be told of a failure before this returns.
+     * Sends a call. The listener may be notified of a failure before this returns.
      *
      * @param call     the call
-     * @param listener told how it goes
-     * @return ends the call by closing its connection, with a reason; does nothing once the call has ended
+     * @param listener receives the response or the failure
+     * @return aborts the call by closing its connection; does nothing once the call has ended
      */
     CallHandle call(DirectCall call, DirectListener listener);
 
-    /** A call under way. */
+    /** A call in progress. */
     interface CallHandle {
 
         /**
-         * Ends the call. Its listener hears nothing more.
+         * Aborts the call. Its listener is not notified any more.
          *
-         * @param reason why, for logs
+         * @param reason cause, for logs
          */
         void abort(String reason);
     }
--- a/library/src/main/java/org/copperspindle/direct/package-info.java
+++ b/library/src/main/java/org/copperspindle/direct/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Calls of upstreams without an agent beside them: HTTP connections to many addresses on one network thread. What comes
- * back is either a whole answer to the call that was sent, or a failure that says whether the call was sent at all.
+ * HTTP calls to upstreams without an agent beside them: connections to many addresses on one network thread. A call
+ * ends with either its complete response, or a failure that states whether the call was sent at all.
  */
 package org.copperspindle.direct;
--- a/library/src/main/java/org/copperspindle/gateway/BackpressureCallAdmission.java
+++ b/library/src/main/java/org/copperspindle/gateway/BackpressureCallAdmission.java
@@ -6,18 +6,18 @@
 import org.copperspindle.time.TimerService;
 
 /**
- * Bounds the calls of stage pools by what their upstreams have said of themselves. The node that packs a pool keeps the limits of its
- * upstreams too, so that it asks nobody.
+ * Admits calls of stage pools by the limits and backoffs that their upstreams have announced. The dispatcher of a pool
+ * owns the limits of its upstreams as well, so that it sends no permit requests.
  */
-final class RestrainedCalls implements CallAdmission {
+final class BackpressureCallAdmission implements CallAdmission {
 
     private final SendPermits permits;
-    private final UpstreamBackoffs rests;
+    private final UpstreamBackoffs backoffs;
     private final TimerService timers;
 
-    RestrainedCalls(SendPermits permits, UpstreamBackoffs rests, TimerService timers) {
+    BackpressureCallAdmission(SendPermits permits, UpstreamBackoffs backoffs, TimerService timers) {
         this.permits = permits;
-        this.rests = rests;
+        this.backoffs = backoffs;
         this.timers = timers;
     }
 
@@ -33,8 +33,8 @@
 
     @Override
     public boolean isBackingOff(String upstream) {
-        // Asked of each upstream whenever a pool is looked at: the clock is read only where somebody rests.
-        return rests.isAnyKnown() && rests.backoffNanos(upstream, timers.nanoTime()) > 0;
+        // Called for each upstream whenever a pool is checked: the clock is read only if a backoff is known.
+        return backoffs.isAnyKnown() && backoffs.backoffNanos(upstream, timers.nanoTime()) > 0;
     }
 
     @Override
--- a/library/src/main/java/org/copperspindle/gateway/CallerDialect.java
+++ b/library/src/main/java/org/copperspindle/gateway/CallerDialect.java
@@ -7,7 +7,7 @@
 import org.copperspindle.http.HttpExchange;
 
 /**
- * How callers write what they want.
+ * Reads the requests of callers and writes the fields of refusals, in the format that the callers of a deployment use.
  */
 public interface CallerDialect {
 
@@ -15,14 +15,14 @@
      * Reads a request.
      *
      * @param exchange the request as it arrived
-     * @return the request, or what is wrong with it
+     * @return the decoded request, or why it is malformed
      */
     GatewayRequestResult read(HttpExchange exchange);
 
     /**
-     * Writes when a caller may come back.
+     * Writes the header fields that tell a caller when to retry.
      *
-     * @param after time from now
+     * @param after delay from now
      * @return header fields of the refusal
      */
     List<HeaderField> retryAfter(Duration after);
--- a/library/src/main/java/org/copperspindle/gateway/ControlGroupClient.java
+++ b/library/src/main/java/org/copperspindle/gateway/ControlGroupClient.java
@@ -10,35 +10,35 @@
 import org.copperspindle.version.VersionResult;
 
 /**
- * Takes questions of operators to this node's member of the control group if it leads, and says who leads if it does not. Network
- * thread only; answers come on it.
+ * Submits operators' requests to this node's member of the control group if it is the leader, and names the leader
+ * otherwise. Runs on the network thread only, and callbacks run there as well.
  */
-final class GroupQuestions {
+final class ControlGroupClient {
 
-    private final VersionExchange editions;
+    private final VersionExchange versionExchange;
     private final Executor network;
 
-    GroupQuestions(VersionExchange editions, Executor network) {
-        this.editions = editions;
+    ControlGroupClient(VersionExchange versionExchange, Executor network) {
+        this.versionExchange = versionExchange;
         this.network = network;
     }
 
     /**
-     * Asks.
+     * Submits a request.
      *
-     * @param question what the member is asked
-     * @param answer   told how it ended
+     * @param request  the request to the member
+     * @param callback receives the response
      */
-    void ask(Question question, Consumer<ControlResponse> answer) {
-        Optional<VersionMember> member = editions.member();
-        if (member.isPresent() && editions.status().leads()) {
-            question.put(member.get(), ended -> network.execute(() -> answer.accept(translate(ended))));
+    void submit(MemberRequest request, Consumer<ControlResponse> callback) {
+        Optional<VersionMember> member = versionExchange.member();
+        if (member.isPresent() && versionExchange.status().leads()) {
+            request.submit(member.get(), ended -> network.execute(() -> callback.accept(toResponse(ended))));
         } else {
-            answer.accept(elsewhere());
+            callback.accept(redirectToLeader());
         }
     }
 
-    private ControlResponse translate(VersionResult result) {
+    private ControlResponse toResponse(VersionResult result) {
         if (result instanceof VersionResult.Recorded recorded) {
             return new ControlResponse.Recorded(
                     recorded.held().version(), recorded.held().newestVersion().map(VersionMessage::text));
@@ -47,26 +47,27 @@
             return new ControlResponse.Invalid(refused.reason());
         }
         if (result instanceof VersionResult.NotLeading) {
-            return elsewhere();
+            return redirectToLeader();
         }
         return new ControlResponse.Unavailable("the leader changed meanwhile; the outcome is not known");
     }
 
-    private ControlResponse elsewhere() {
-        return editions.leaderControl()
+    private ControlResponse redirectToLeader() {
+        return versionExchange
+                .leaderControl()
                 .<ControlResponse>map(ControlResponse.Elsewhere::new)
                 .orElseGet(() -> new ControlResponse.Unavailable("no leader is known"));
     }
 
-    /** A question to the member that leads. */
+    /** A request to the member that leads. */
     @FunctionalInterface
-    interface Question {
+    interface MemberRequest {
         /**
-         * Puts it.
+         * Submits the request.
          *
          * @param member the member
-         * @param ended  told the result, on the member's own thread
+         * @param ended  receives the result, on the member's own thread
          */
-        void put(VersionMember member, Consumer<VersionResult> ended);
+        void submit(VersionMember member, Consumer<VersionResult> ended);
     }
 }
--- a/library/src/main/java/org/copperspindle/gateway/ControlGroupMember.java
+++ b/library/src/main/java/org/copperspindle/gateway/ControlGroupMember.java
@@ -20,45 +20,45 @@
 import org.copperspindle.wire.WireTransport;
 
 /**
- * The control group's member of a node with a disk, on a decision ring of its own, so that a slow disk never holds a request
- * up. What it decides reaches the node on its network thread.
+ * The member of the control group in a node with a disk. It runs on a decision ring of its own, so that a slow disk
+ * never delays a request, and passes its decisions to the network thread of the node.
  */
-final class GroupMember implements AutoCloseable {
+final class ControlGroupMember implements AutoCloseable {
 
-    /** Name of the group, and of its folder. */
+    /** Name of the group and of its data folder. */
     static final String NAME = "control";
 
     /**
-     * After which a silent leader is replaced. A cut leader is noticed well within the time in which a change must be
-     * accepted; a disk that takes 150 ms for a sync does not hold heartbeats up.
+     * Time after which a silent leader is replaced. An isolated leader is detected well within the time in which a
+     * change must be accepted, and a disk that takes 150 ms for a sync does not delay heartbeats.
      */
     static final Duration ELECTION_TIMEOUT = Duration.ofMillis(1000);
 
     private final DecisionRing decisions = new DecisionRing("decisions", DecisionRing.DEFAULT_SLOTS);
-    private final VersionExchange exchange;
+    private final VersionExchange versionExchange;
     private final Executor network;
     private final NodeMemberOpener opener;
-    private final MemberSupervisor keeper;
-    private volatile boolean grouped;
+    private final MemberSupervisor supervisor;
+    private volatile boolean seenGroup;
 
     /**
-     * Opens the member, and opens it again whenever its disk works again.
+     * Opens the member, and reopens it whenever its disk works again.
      *
-     * @param settings   settings of the node
-     * @param folder     folder of the member
-     * @param roster     who may be in the group
-     * @param exchange   told of versions, the leader and the member
-     * @param transports makes the member's transport
-     * @param network    the network thread
+     * @param settings        settings of the node
+     * @param folder          folder of the member
+     * @param voterDiscovery  determines the voters of the group
+     * @param versionExchange receives committed versions, the leader and the opened member
+     * @param transports      creates the member's transport
+     * @param network         the network thread
      */
-    GroupMember(
+    ControlGroupMember(
             GatewaySettings settings,
             Path folder,
-            VoterDiscovery roster,
-            VersionExchange exchange,
+            VoterDiscovery voterDiscovery,
+            VersionExchange versionExchange,
             Supplier<WireTransport> transports,
             Executor network) {
-        this.exchange = exchange;
+        this.versionExchange = versionExchange;
         this.network = network;
         TimerService timers = new SystemTimerService("timer", decisions);
         ConsensusSettings consensus = new ConsensusSettings(
@@ -66,7 +66,7 @@
                 NumericAddress.format(settings.mesh()),
                 VoterDiscovery.memberAddress(settings.mesh()),
                 settings.control(),
-                roster,
+                voterDiscovery,
                 true,
                 folder,
                 ELECTION_TIMEOUT);
@@ -76,41 +76,42 @@
                 transports,
                 consensus,
                 VoterDiscovery.memberAddress(settings.meshBind().orElse(settings.mesh())),
-                new Recorded(),
+                new CommitForwarder(),
                 this::status);
-        this.keeper = new MemberSupervisor(timers, opener, opened -> network.execute(() -> exchange.member(opened)));
-        decisions.execute(keeper::start);
+        this.supervisor =
+                new MemberSupervisor(timers, opener, opened -> network.execute(() -> versionExchange.member(opened)));
+        decisions.execute(supervisor::start);
     }
 
-    /** Says whether the member has seen a group at work. */
-    boolean isGrouped() {
-        return grouped;
+    /** Returns whether the member has seen a working group. */
+    boolean hasSeenGroup() {
+        return seenGroup;
     }
 
     @Override
     public void close() {
-        keeper.close();
+        supervisor.close();
         opener.close();
         decisions.close();
     }
 
     private void status(MemberStatus status) {
-        grouped |= !status.leader().isEmpty();
-        network.execute(() -> exchange.status(status));
+        seenGroup |= !status.leader().isEmpty();
+        network.execute(() -> versionExchange.status(status));
     }
 
-    /** Hands on what the member has recorded. */
-    private final class Recorded implements VersionObserver {
+    /** Forwards what the member has committed to the network thread. */
+    private final class CommitForwarder implements VersionObserver {
         @Override
-        public void onVersion(VersionMessage edition) {
-            grouped = true;
-            network.execute(() -> exchange.recorded(edition));
+        public void onVersion(VersionMessage version) {
+            seenGroup = true;
+            network.execute(() -> versionExchange.recorded(version));
         }
 
         @Override
         public void onEvacuations(EvacuationsMessage evacuations) {
-            grouped = true;
-            network.execute(() -> exchange.recorded(evacuations));
+            seenGroup = true;
+            network.execute(() -> versionExchange.recorded(evacuations));
         }
     }
 }
--- a/library/src/main/java/org/copperspindle/gateway/ControlRequestHandler.java
+++ b/library/src/main/java/org/copperspindle/gateway/ControlRequestHandler.java
@@ -19,137 +19,140 @@
 import org.copperspindle.version.VersionMessage;
 
 /**
- * What operators and upstreams may ask of a node. Network thread only; answers come on it.
+ * Handles the control requests of operators and the announcements of upstreams. Runs on the network thread only, and
+ * callbacks run there as well.
  */
 public final class ControlRequestHandler {
 
     private static final Logger LOGGER = LogManager.getLogger(ControlRequestHandler.class);
 
     private final DirectoryGossip gossip;
-    private final GroupQuestions group;
-    private final RouteTableReader reader;
-    private final Supplier<Optional<RouteTable>> held;
-    private final IgnoredAnnouncements ignored;
+    private final ControlGroupClient controlGroup;
+    private final RouteTableReader tableReader;
+    private final Supplier<Optional<RouteTable>> table;
+    private final IgnoredAnnouncements ignoredAnnouncements;
     private final RequestQuarantine quarantine;
-    private final EvacuationRequestHandler evacuations;
+    private final EvacuationRequestHandler evacuationHandler;
 
     ControlRequestHandler(
             DirectoryGossip gossip,
-            GroupQuestions group,
-            RouteTableReader reader,
-            Supplier<Optional<RouteTable>> held,
-            IgnoredAnnouncements ignored,
+            ControlGroupClient controlGroup,
+            RouteTableReader tableReader,
+            Supplier<Optional<RouteTable>> table,
+            IgnoredAnnouncements ignoredAnnouncements,
             RequestQuarantine quarantine,
-            EvacuationRequestHandler evacuations) {
+            EvacuationRequestHandler evacuationHandler) {
         this.gossip = gossip;
-        this.group = group;
-        this.reader = reader;
-        this.held = held;
-        this.ignored = ignored;
+        this.controlGroup = controlGroup;
+        this.tableReader = tableReader;
+        this.table = table;
+        this.ignoredAnnouncements = ignoredAnnouncements;
         this.quarantine = quarantine;
-        this.evacuations = evacuations;
+        this.evacuationHandler = evacuationHandler;
     }
 
     /**
-     * Takes an upstream's announcement; unless it is ignored, it has been passed on to all nodes when this returns.
+     * Accepts an upstream's announcement. Unless it is ignored, it has been sent to all nodes when this returns.
      *
-     * <p>One of a pool that the table does not have is ignored: it may come from a writer of another kind, and would take
-     * its address from the upstream that serves there. An upstream of a pool that a newer table has is told to ask another
-     * node, and announces itself again.
+     * <p>An announcement for a pool that the table does not have is ignored: it may come from a sender of another
+     * kind, and would take over the address of the upstream that serves there. An upstream whose pool is only in a
+     * newer table is told to ask another node, and announces itself again.
      *
-     * @param news the announcement
-     * @return why it is ignored; empty if it was taken
+     * @param announcement the announcement
+     * @return why it is ignored; empty if it was accepted
      */
-    public Optional<String> announced(UpstreamRecord news) {
-        boolean known = held.get().map(t -> t.findPool(news.pool()).isPresent()).orElse(true);
+    public Optional<String> onAnnouncement(UpstreamRecord announcement) {
+        boolean known = table.get()
+                .map(t -> t.findPool(announcement.pool()).isPresent())
+                .orElse(true);
         if (!known) {
-            ignored(news.id(), "unknown-pool", news.pool());
-            return Optional.of("no pool " + news.pool());
+            recordIgnored(announcement.id(), "unknown-pool", announcement.pool());
+            return Optional.of("no pool " + announcement.pool());
         }
-        gossip.onAnnouncement(news);
+        gossip.onAnnouncement(announcement);
         return Optional.empty();
     }
 
     /**
-     * Takes note of an announcement that names no upstream.
+     * Records an announcement that does not identify an upstream.
      *
-     * @param id     id that it came under
-     * @param reason why it is ignored, one of a few
+     * @param id     id in the request path
+     * @param reason why it is ignored, one of a small fixed set
      * @param detail what is wrong with it
      */
-    public void ignored(String id, String reason, String detail) {
-        ignored.add(id, reason, detail);
+    public void recordIgnored(String id, String reason, String detail) {
+        ignoredAnnouncements.add(id, reason, detail);
     }
 
     /**
-     * Takes note that an upstream leaves; this has been passed on to all nodes when this returns.
+     * Records that an upstream leaves; this has been sent to all nodes when this returns.
      *
      * @param id          its id
-     * @param incarnation the life that has ended; {@link UpstreamRecord#UNKNOWN_INCARNATION} for the one known here
+     * @param incarnation the terminated incarnation; {@link UpstreamRecord#UNKNOWN_INCARNATION} for the one known here
      */
-    public void left(String id, long incarnation) {
+    public void onDeparture(String id, long incarnation) {
         gossip.onLeft(id, incarnation, "deregistered");
     }
 
     /**
-     * Lists the requests that are held off because upstreams ended under them.
+     * Lists the requests that are quarantined because upstreams terminated while running them.
      *
-     * @return as this node knows them
+     * @return the quarantined requests known to this node
      */
-    public List<QuarantinedRequest> heldRequests() {
+    public List<QuarantinedRequest> quarantinedRequests() {
         return quarantine.quarantined();
     }
 
     /**
-     * Lets a request run again; this has been passed on to all nodes when this returns.
+     * Lifts the quarantine of a request; this has been sent to all nodes when this returns.
      *
-     * @param digest names the request
-     * @return false if it is neither held off nor suspected
+     * @param digest digest of the request
+     * @return false if it is neither quarantined nor suspected
      */
-    public boolean liftHold(RequestDigest digest) {
+    public boolean liftQuarantine(RequestDigest digest) {
         return quarantine.lift(digest);
     }
 
     /**
-     * Has a configuration accepted.
+     * Validates a configuration and submits it to the control group.
      *
-     * @param text   the whole text
-     * @param answer told how it ended
+     * @param text     the whole text
+     * @param callback receives the result
      */
-    public void accept(byte[] text, Consumer<ControlResponse> answer) {
-        RouteTableResult result = reader.read(text);
+    public void submitTable(byte[] text, Consumer<ControlResponse> callback) {
+        RouteTableResult result = tableReader.read(text);
         if (result instanceof RouteTableResult.Invalid invalid) {
             LOGGER.info("event=version-refused bytes={} problem=\"{}\"", text.length, invalid.problem());
-            answer.accept(new ControlResponse.Invalid(invalid.problem()));
+            callback.accept(new ControlResponse.Invalid(invalid.problem()));
         } else if (result instanceof RouteTableResult.Valid valid) {
-            VersionMessage edition = new VersionMessage(valid.table().version(), text);
-            group.ask((member, ended) -> member.put(edition, ended), ended -> {
+            VersionMessage version = new VersionMessage(valid.table().version(), text);
+            controlGroup.submit((member, outcome) -> member.put(version, outcome), outcome -> {
                 LOGGER.info(
                         "event=version-asked version={} bytes={} result={}",
-                        edition.version(),
+                        version.version(),
                         text.length,
-                        describe(ended));
-                answer.accept(ended);
+                        describe(outcome));
+                callback.accept(outcome);
             });
         }
     }
 
     /**
-     * Returns what may be asked about the evacuation of failure domains.
+     * Returns the handler of requests to evacuate failure domains.
      *
-     * @return its own desk
+     * @return the handler
      */
-    public EvacuationRequestHandler evacuations() {
-        return evacuations;
+    public EvacuationRequestHandler evacuationHandler() {
+        return evacuationHandler;
     }
 
     /**
      * Reads the newest accepted configuration.
      *
-     * @param answer told the text
+     * @param callback receives its text
      */
-    public void read(Consumer<ControlResponse> answer) {
-        group.ask(VersionMember::read, answer);
+    public void readTable(Consumer<ControlResponse> callback) {
+        controlGroup.submit(VersionMember::read, callback);
     }
 
     private static String describe(ControlResponse result) {
--- a/library/src/main/java/org/copperspindle/gateway/ControlResponse.java
+++ b/library/src/main/java/org/copperspindle/gateway/ControlResponse.java
@@ -3,34 +3,34 @@
 import java.util.Optional;
 
 /**
- * How a question of an operator ended.
+ * Result of an operator's request to the control group.
  */
 public sealed interface ControlResponse {
 
     /**
-     * Recorded by a majority.
+     * The request was committed by a majority.
      *
      * @param version newest accepted version, 0 if there is none
-     * @param text    its text
+     * @param text    text of that version
      */
     record Recorded(long version, Optional<byte[]> text) implements ControlResponse {}
 
     /**
-     * What was sent is invalid; nothing of it was recorded.
+     * The request is invalid; nothing was committed.
      *
      * @param problem what is wrong and where
      */
     record Invalid(String problem) implements ControlResponse {}
 
     /**
-     * Another node answers.
+     * Another node is the leader; the request has to be sent there.
      *
-     * @param control IP:PORT of its door for operators
+     * @param control IP:PORT of its control endpoint
      */
     record Elsewhere(String control) implements ControlResponse {}
 
     /**
-     * No clear answer can be given now.
+     * The request cannot be answered now, or its outcome is unknown.
      *
      * @param reason why
      */
--- a/library/src/main/java/org/copperspindle/gateway/EvacuationRequestHandler.java
+++ b/library/src/main/java/org/copperspindle/gateway/EvacuationRequestHandler.java
@@ -9,51 +9,53 @@
 import org.copperspindle.version.EvacuationsMessage;
 
 /**
- * What operators may ask of a node about the evacuation of failure domains. Network thread only; answers come on it.
+ * Handles the requests of operators to evacuate failure domains. Runs on the network thread only, and callbacks run
+ * there as well.
  */
 public final class EvacuationRequestHandler {
 
     private static final Logger LOGGER = LogManager.getLogger(EvacuationRequestHandler.class);
 
-    private final GroupQuestions group;
-    private final Supplier<EvacuationsMessage> held;
-    private final KnownDomains domains;
+    private final ControlGroupClient controlGroup;
+    private final Supplier<EvacuationsMessage> current;
+    private final KnownFailureDomains knownDomains;
 
-    EvacuationRequestHandler(GroupQuestions group, Supplier<EvacuationsMessage> held, KnownDomains domains) {
-        this.group = group;
-        this.held = held;
-        this.domains = domains;
+    EvacuationRequestHandler(
+            ControlGroupClient controlGroup, Supplier<EvacuationsMessage> current, KnownFailureDomains knownDomains) {
+        this.controlGroup = controlGroup;
+        this.current = current;
+        this.knownDomains = knownDomains;
     }
 
     /**
-     * Has a failure domain evacuated, or used again.
+     * Submits the beginning or the end of an evacuation to the control group.
      *
-     * @param order  the order; its name need not be known
-     * @param answer told how it ended
+     * @param command  the command; refused if its failure domain is unknown
+     * @param callback receives the result
      */
-    public void order(EvacuationCommand order, Consumer<ControlResponse> answer) {
-        // What is held was known to the node that took the order.
-        if (!domains.isKnown(order.failureDomain()) && !held.get().contains(order.failureDomain())) {
-            LOGGER.info("event=evacuation-refused domain=\"{}\" reason=unknown", order.failureDomain());
-            answer.accept(new ControlResponse.Invalid("no failure domain of that name"));
+    public void submit(EvacuationCommand command, Consumer<ControlResponse> callback) {
+        // The failure domain of a recorded evacuation was known to the node that accepted the command.
+        if (!knownDomains.isKnown(command.failureDomain()) && !current.get().contains(command.failureDomain())) {
+            LOGGER.info("event=evacuation-refused domain=\"{}\" reason=unknown", command.failureDomain());
+            callback.accept(new ControlResponse.Invalid("no failure domain of that name"));
             return;
         }
-        group.ask((member, ended) -> member.evacuate(order, ended), result -> {
+        controlGroup.submit((member, ended) -> member.evacuate(command, ended), result -> {
             LOGGER.info(
                     "event=evacuation-asked domain={} begins={} result={}",
-                    order.failureDomain(),
-                    order.begins(),
+                    command.failureDomain(),
+                    command.begins(),
                     result.getClass().getSimpleName());
-            answer.accept(result);
+            callback.accept(result);
         });
     }
 
     /**
-     * Lists the failure domains that are evacuated.
+     * Returns the failure domains that are evacuated.
      *
-     * @return as this node knows them
+     * @return the evacuations known to this node
      */
-    public EvacuationsMessage held() {
-        return held.get();
+    public EvacuationsMessage current() {
+        return current.get();
     }
 }
--- a/library/src/main/java/org/copperspindle/gateway/GatewayContext.java
+++ b/library/src/main/java/org/copperspindle/gateway/GatewayContext.java
@@ -14,30 +14,30 @@
 import org.copperspindle.time.TimerService;
 
 /**
- * What all requests of a node share.
+ * Components that all requests of a node share.
  *
- * @param timers              time on the network thread
- * @param callers             how callers write
- * @param upstreams           how upstreams are spoken to
+ * @param timers              timers on the network thread
+ * @param callers             reads requests of callers and writes refusals
+ * @param upstreams           writes calls to upstreams and reads their responses
  * @param port                sends calls
- * @param batches             makes the pieces of stages
- * @param gossip              tells other nodes of upstreams that have left
- * @param tracker             what was seen of upstreams
+ * @param batches             runs the pieces of stages
+ * @param gossip              announces to other nodes that upstreams have left
+ * @param tracker             what was observed of upstreams
  * @param chooser             chooses upstreams
- * @param coldAdmission       parts what cold upstreams bear among the nodes
- * @param permits             admits to upstreams that have named a limit
- * @param retryBudget         bounds repeats
+ * @param coldAdmission       divides the load that cold upstreams sustain among the nodes
+ * @param permits             admits requests to upstreams that have announced a limit
+ * @param retryBudget         limits retries
  * @param stageAdmission      decides when stages begin
- * @param fetchTime           how long upstreams take to fetch stage results
- * @param firstEventLatencies how long upstreams take after the stages
+ * @param fetchTime           estimates how long upstreams take to fetch stage results
+ * @param firstEventLatencies how long upstreams take to the first event once the stages are done
  * @param streamDurations     how long streams take after their first event
- * @param isolation           tells whether this node is cut off from the others
+ * @param isolation           detects that this node is isolated from the others
  * @param openRequests        requests in progress
  * @param counters            counts requests
- * @param log                 bounds log lines
+ * @param log                 limits the rate of log lines
  * @param random              draws pools by weight
- * @param retryAfterDelays    when refused callers should come back
- * @param quarantine          holds requests off that end their upstreams
+ * @param retryAfterDelays    when refused callers should retry
+ * @param quarantine          quarantines requests that terminate their upstreams
  */
 record GatewayContext(
         TimerService timers,
--- a/library/src/main/java/org/copperspindle/gateway/GatewayCounters.java
+++ b/library/src/main/java/org/copperspindle/gateway/GatewayCounters.java
@@ -6,14 +6,14 @@
 import org.copperspindle.measure.LatencyHistogram;
 
 /**
- * Counts what became of requests. Network thread only, where metrics are read as well.
+ * Counts the outcomes of requests. Used on the network thread only, where metrics are read as well.
  */
 final class GatewayCounters {
 
-    /** Routes come and go with versions; those beyond this count as one. */
+    /** Routes beyond this count share one label: routes come and go with configuration versions. */
     private static final int MAX_ROUTES = 100;
 
-    /** Client accounts beyond those count as one: each is a line of every scrape. */
+    /** Client accounts beyond this count share one label: each is a line of every scrape. */
     private static final int MAX_ACCOUNTS = 200;
 
     private static final String OTHER = "other";
@@ -25,7 +25,7 @@
     private final Map<String, LatencyHistogram> waits = new TreeMap<>();
     private int open;
     private long attempts;
-    private long repeats;
+    private long retries;
 
     void recordStart() {
         open++;
@@ -35,24 +35,25 @@
     void recordEnd(String route, String account, String outcome, long nanos) {
         open--;
         String result = isServed(outcome) ? "served" : "failed";
-        accounts.computeIfAbsent(keptAccount(account), a -> new TreeMap<>()).merge(result, 1L, Long::sum);
-        String kept = kept(route);
-        outcomes.computeIfAbsent(kept, r -> new TreeMap<>()).merge(outcome, 1L, Long::sum);
-        durations.computeIfAbsent(kept, r -> new LatencyHistogram()).record(nanos);
+        accounts.computeIfAbsent(accountLabel(account), a -> new TreeMap<>()).merge(result, 1L, Long::sum);
+        String label = routeLabel(route);
+        outcomes.computeIfAbsent(label, r -> new TreeMap<>()).merge(outcome, 1L, Long::sum);
+        durations.computeIfAbsent(label, r -> new LatencyHistogram()).record(nanos);
     }
 
     /** Counts a request that was not admitted. */
-    void refused(String reason) {
+    void recordRefusal(String reason) {
         refusals.merge(reason, 1L, Long::sum);
     }
 
-    /** Counts an attempt, and how long its request waited for it. */
-    void recordAttempt(String route, boolean repeat, long waitedNanos) {
+    /** Counts an attempt; of a first attempt also how long its request waited for it. */
+    void recordAttempt(String route, boolean retry, long waitedNanos) {
         attempts++;
-        if (repeat) {
-            repeats++;
+        if (retry) {
+            retries++;
         } else {
-            waits.computeIfAbsent(kept(route), r -> new LatencyHistogram()).record(waitedNanos);
+            waits.computeIfAbsent(routeLabel(route), r -> new LatencyHistogram())
+                    .record(waitedNanos);
         }
     }
 
@@ -64,8 +65,8 @@
         return attempts;
     }
 
-    long repeats() {
-        return repeats;
+    long retries() {
+        return retries;
     }
 
     /** Returns counts by route and outcome. */
@@ -97,11 +98,11 @@
         return outcome.equals("streamed") || outcome.startsWith("status-2");
     }
 
-    private String keptAccount(String account) {
+    private String accountLabel(String account) {
         return accounts.containsKey(account) || accounts.size() < MAX_ACCOUNTS ? account : OTHER;
     }
 
-    private String kept(String route) {
+    private String routeLabel(String route) {
         return durations.containsKey(route) || durations.size() < MAX_ROUTES ? route : OTHER;
     }
 }
--- a/library/src/main/java/org/copperspindle/gateway/GatewayDialects.java
+++ b/library/src/main/java/org/copperspindle/gateway/GatewayDialects.java
@@ -7,19 +7,19 @@
 import org.copperspindle.time.TimerService;
 
 /**
- * What a deployment's callers, upstreams and operators speak.
+ * Formats in which the callers, upstreams and operators of a deployment communicate with a node.
  */
 public interface GatewayDialects {
 
     /**
-     * Returns how callers write.
+     * Returns the format of requests and refusals.
      *
      * @return the dialect
      */
     CallerDialect callerDialect();
 
     /**
-     * Returns how upstreams are told what to run.
+     * Returns the format of calls to upstreams.
      *
      * @return the dialect
      */
@@ -33,19 +33,19 @@
     RouteTableReader tableReader();
 
     /**
-     * Makes what speaks to the upstreams of stage pools.
+     * Creates the port that calls the upstreams of stage pools.
      *
      * @param port   sends calls
-     * @param timers time on the network thread
+     * @param timers timers on the network thread
      * @return the port
      */
     StagePort stagePort(UpstreamPort port, TimerService timers);
 
     /**
-     * Makes the door for operators and upstreams.
+     * Creates the control endpoint for operators and upstreams.
      *
-     * @param desk what they may ask for
-     * @return answers their requests
+     * @param handler handles their requests
+     * @return the handler of HTTP requests to the endpoint
      */
-    HttpRequestHandler controlEndpoint(ControlRequestHandler desk);
+    HttpRequestHandler controlEndpoint(ControlRequestHandler handler);
 }
--- a/library/src/main/java/org/copperspindle/gateway/GatewayMessages.java
+++ b/library/src/main/java/org/copperspindle/gateway/GatewayMessages.java
@@ -23,7 +23,7 @@
 import org.copperspindle.wire.WireTransport;
 
 /**
- * All messages between nodes.
+ * Registers all messages between nodes.
  */
 final class GatewayMessages {
 
--- a/library/src/main/java/org/copperspindle/gateway/GatewayMetrics.java
+++ b/library/src/main/java/org/copperspindle/gateway/GatewayMetrics.java
@@ -15,8 +15,8 @@
 import org.copperspindle.route.UpstreamPool;
 
 /**
- * A node's metrics, answered on the network thread that counts. The registry is made at the first question: most nodes
- * are never asked, and a restart should not pay for it.
+ * Serves a node's metrics on the network thread, which counts them as well. The registry is created at the first
+ * scrape: most nodes are never scraped, and a restart should not spend time on it.
  */
 final class GatewayMetrics implements HttpRequestHandler {
 
@@ -33,35 +33,35 @@
 
     @Override
     public void handle(HttpExchange exchange) {
-        MetricsRegistry metrics = registry.orElseGet(this::open);
+        MetricsRegistry metrics = registry.orElseGet(this::createRegistry);
         publishNew(metrics);
         exchange.respond(OK, CONTENT_TYPE, Map.of(), metrics.scrape().getBytes(StandardCharsets.UTF_8));
     }
 
-    private MetricsRegistry open() {
+    private MetricsRegistry createRegistry() {
         MetricsRegistry metrics = new MetricsRegistry();
         registry = Optional.of(metrics);
-        gauge(metrics, "ready", "1 while the node takes new callers", n -> n.isReady() ? 1 : 0);
+        gauge(metrics, "ready", "1 while the node accepts new requests", n -> n.isReady() ? 1 : 0);
         gauge(
                 metrics,
                 "lease.held",
                 "1 while a version is in force",
-                n -> n.holder().inForce().isPresent() ? 1 : 0);
+                n -> n.versionHolder().inForce().isPresent() ? 1 : 0);
         gauge(
                 metrics,
                 "config.version",
-                "Version held, in force or not",
-                n -> n.holder().version());
+                "Configuration version held, in force or not",
+                n -> n.versionHolder().version());
         gauge(
                 metrics,
                 "domains.evacuated",
-                "Failure domains whose upstreams get nothing",
-                n -> n.holder().evacuations().failureDomains().size());
+                "Failure domains that are evacuated",
+                n -> n.versionHolder().evacuations().failureDomains().size());
         gauge(
                 metrics,
                 "evacuation.revision",
                 "Revision of the list of evacuated failure domains; differs between nodes while one is behind",
-                n -> n.holder().evacuations().revision());
+                n -> n.versionHolder().evacuations().revision());
         gauge(
                 metrics,
                 "leader.term",
@@ -72,7 +72,7 @@
                 "leads",
                 "1 while this node leads the control group",
                 n -> n.status().leads() ? 1 : 0);
-        gauge(metrics, "nodes", "Other nodes that are connected", NodeState::nodes);
+        gauge(metrics, "nodes", "Other nodes that are connected", NodeState::connectedNodes);
         gauge(
                 metrics,
                 "requests.open",
@@ -81,12 +81,12 @@
         gauge(
                 metrics,
                 "requests.held",
-                "Requests held before their first stage",
-                n -> n.gate().deferredCount());
+                "Requests deferred before their first stage",
+                n -> n.stageAdmission().deferredCount());
         gauge(
                 metrics,
                 "pieces.waiting",
-                "Pieces that wait here for an upstream",
+                "Pieces that wait at this node for an upstream",
                 n -> n.batches().waitingPieces());
         gauge(
                 metrics,
@@ -96,45 +96,45 @@
         gauge(
                 metrics,
                 "requests.suspected",
-                "Requests under which upstreams ended, held off or not",
+                "Requests whose runs terminated upstreams, quarantined or not",
                 n -> n.quarantine().trackedRequests());
         gauge(
                 metrics,
                 "requests.held.off",
-                "Requests that are held off because upstreams ended under them",
+                "Requests that are quarantined because upstreams terminated while running them",
                 n -> n.quarantine().quarantined().size());
         metrics.counter(
                 "permits.unanswered",
-                "Questions for a permit to send that got no answer",
+                "Permit requests that got no response",
                 node,
                 n -> n.permits().unanswered());
         metrics.counter(
                 "upstreams.ended",
-                "Upstreams that ended under runs of this node",
+                "Upstreams that terminated during runs of this node",
                 node,
                 n -> n.quarantine().terminatedUpstreams());
         gauge(
                 metrics,
                 "upstreams.limited",
-                "Upstreams that have named how many requests a second they take from all nodes together",
+                "Upstreams that have announced a limit on requests per second from all nodes",
                 n -> n.limits().count());
         gauge(
                 metrics,
                 "upstreams.at.rest",
-                "Upstreams that want nothing from this node for a while",
-                n -> n.rests().count(System.nanoTime()));
+                "Upstreams that have requested a backoff of this node",
+                n -> n.backoffs().count(System.nanoTime()));
         gauge(metrics, "heap.bytes", "Heap in use", n -> usedHeap());
         metrics.counter("attempts", "Attempts sent", node, n -> n.counters().attempts());
         metrics.counter(
                 "attempt.repeats",
-                "Attempts beyond the first",
+                "Attempts after the first",
                 node,
-                n -> n.counters().repeats());
+                n -> n.counters().retries());
         metrics.counter("upstream.connects", "Connections opened to upstreams", node, NodeState::connects);
         return metrics;
     }
 
-    /** Publishes what has been counted for the first time since the last question. */
+    /** Publishes the series that have appeared since the last scrape. */
     private void publishNew(MetricsRegistry metrics) {
         node.counters()
                 .outcomes()
@@ -167,8 +167,8 @@
         publishReasons(
                 metrics,
                 "announcements.ignored",
-                "Announcements that name no upstream",
-                node.ignored().counts());
+                "Announcements that do not identify an upstream",
+                node.ignoredAnnouncements().counts());
         node.counters()
                 .durations()
                 .forEach((route, histogram) ->
@@ -177,7 +177,7 @@
                 .waits()
                 .forEach((route, histogram) -> publish(
                         metrics, "request.wait", "Seconds from admission to the first attempt", route, histogram));
-        node.holder()
+        node.versionHolder()
                 .heldTable()
                 .map(RouteTable::pools)
                 .ifPresent(pools -> pools.stream()
@@ -196,44 +196,44 @@
     private void publishPool(MetricsRegistry metrics, String pool) {
         metrics.gauge(
                 "upstreams.ready",
-                "Upstreams that take requests",
+                "Upstreams that accept requests",
                 node,
                 n -> n.directory().ready(pool).size(),
                 "pool",
                 pool);
         metrics.gauge(
                 "upstreams.cold",
-                "Upstreams that bear few requests for a while",
+                "Upstreams that are cold and sustain few requests",
                 node,
                 n -> n.directory().countCold(pool, System.nanoTime()),
                 "pool",
                 pool);
         metrics.gauge(
                 "pool.wait.seconds",
-                "Time until new pieces begin, as this node knows it",
+                "Time until new pieces begin, as estimated by this node",
                 node,
                 n -> n.batches().load(pool).waitNanos() / 1e9,
                 "pool",
                 pool);
         metrics.counter(
                 "stage.busy.seconds",
-                "Time of upstreams in calls that this node packed: what a stage costs",
+                "Time of upstreams in calls that this node batched: the cost of a stage",
                 node,
                 n -> n.batches().work(pool).busySeconds(),
                 "pool",
                 pool);
         metrics.counter(
                 "stage.pieces",
-                "Pieces made in calls that this node packed",
+                "Pieces completed in calls that this node batched",
                 node,
                 n -> n.batches().work(pool).pieces(),
                 "pool",
                 pool);
         metrics.gauge(
                 "retries.left",
-                "Repeats that this node may still send in the window",
+                "Retries that this node may still send in the window",
                 node,
-                n -> n.budget().remaining(pool, System.nanoTime()),
+                n -> n.retryBudget().remaining(pool, System.nanoTime()),
                 "pool",
                 pool);
     }
--- a/library/src/main/java/org/copperspindle/gateway/GatewayNode.java
+++ b/library/src/main/java/org/copperspindle/gateway/GatewayNode.java
@@ -63,34 +63,37 @@
 import org.copperspindle.wire.WireTransport;
 
 /**
- * One running node that stands directly before upstreams. Requests, upstreams and the connections between nodes live on
- * one network thread; a node with a disk has a member of the control group besides, on a decision ring of its own, so
- * that a slow disk never holds a request up.
+ * A running node directly in front of upstreams. Requests, upstreams and the connections between nodes are handled on
+ * one network thread. A node with a disk also has a member of the control group, on a decision ring of its own, so
+ * that a slow disk never delays a request.
  */
 public final class GatewayNode {
 
     private static final Logger LOGGER = LogManager.getLogger(GatewayNode.class);
 
-    /** Part of the time in which a key must be dead everywhere; the rest covers clocks and requests under way. */
+    /**
+     * Lease duration as a share of the time in which a revoked key must be invalid everywhere; the rest covers clock
+     * differences and requests in progress.
+     */
     private static final double LEASE_SHARE = 0.76;
 
-    /** Time for other nodes to tell what they know before a node that found some calls itself ready. */
-    private static final Duration VIEW_TIME = Duration.ofMillis(300);
+    /** Time for other nodes to send what they know before a node that has found some becomes ready. */
+    private static final Duration NODE_EXCHANGE_TIME = Duration.ofMillis(300);
 
-    /** A node that finds no others is ready after this: it may be the only one. */
-    private static final Duration LONELY_TIME = Duration.ofSeconds(2);
+    /** Delay after which a node that finds no others becomes ready: it may be the only one. */
+    private static final Duration SINGLE_NODE_DELAY = Duration.ofSeconds(2);
 
     /**
-     * Cores of a VM that packs the calls of a pool without delay. On a smaller one, which has a slower link as well, requests
-     * are late though the pool keeps up.
+     * Minimum cores of a VM that batches the calls of a pool without delay. A smaller VM has a slower link as well:
+     * with it as dispatcher, requests are late even though the pool keeps up.
      */
-    private static final double PACKING_CORES = 0.5;
+    private static final double MIN_DISPATCHER_CORES = 0.5;
 
-    private static final Duration TICK = Duration.ofMillis(100);
-    private static final int SERVED_LINES = 300;
-    private static final int FAILED_LINES = 200;
+    private static final Duration TICK_INTERVAL = Duration.ofMillis(100);
+    private static final int MAX_SERVED_LINES_PER_SECOND = 300;
+    private static final int MAX_FAILED_LINES_PER_SECOND = 200;
     private static final int MAX_CONNECTIONS = 2500;
-    private static final int CONTROL_BODY = 8 << 20;
+    private static final int MAX_CONTROL_BODY_BYTES = 8 << 20;
     private static final int OK = 200;
     private static final int UNAVAILABLE = 503;
 
@@ -104,26 +107,26 @@
     private final MessageRegistry registry;
     private final NodeMesh mesh;
     private final UpstreamDirectory directory = new UpstreamDirectory();
-    private final IsolationDetector cutOff;
+    private final IsolationDetector isolation;
     private final DirectoryGossip gossip;
-    private final VersionExchange exchange;
-    private final VersionHolder holder;
+    private final VersionExchange versionExchange;
+    private final VersionHolder versionHolder;
     private final BatchService batches;
-    private final OpenRequests open = new OpenRequests();
+    private final OpenRequests openRequests = new OpenRequests();
     private final GatewayService service;
     private final GatewayCounters counters = new GatewayCounters();
-    private final SharedRetryBudget budget;
+    private final SharedRetryBudget retryBudget;
     private final UpstreamTracker tracker = new UpstreamTracker();
-    private final HttpListener callers;
-    private final HttpListener readiness;
-    private final HttpListener control;
-    private final Optional<HttpListener> metrics;
+    private final HttpListener callerListener;
+    private final HttpListener readinessListener;
+    private final HttpListener controlListener;
+    private final Optional<HttpListener> metricsListener;
     private final UpstreamLimits upstreamLimits;
-    private final UpstreamBackoffs upstreamRests;
+    private final UpstreamBackoffs upstreamBackoffs;
     private final SendPermits permits;
     private final RequestQuarantine quarantine;
     private final long startedAt = System.nanoTime();
-    private Optional<GroupMember> member = Optional.empty();
+    private Optional<ControlGroupMember> member = Optional.empty();
     private boolean ready;
     private boolean stopping;
 
@@ -142,42 +145,45 @@
                 settings.dataFolder().isPresent(),
                 settings.seeds());
         this.mesh = new NodeMesh(meshSettings, transport, timers, this::hello);
-        this.cutOff = new IsolationDetector(mesh::count, timers);
+        this.isolation = new IsolationDetector(mesh::count, timers);
         this.gossip = new DirectoryGossip(mesh, timers, directory);
-        this.exchange = new VersionExchange(mesh, timers, loop);
+        this.versionExchange = new VersionExchange(mesh, timers, loop);
         Duration lease = Duration.ofNanos((long) (settings.revocation().toNanos() * LEASE_SHARE));
-        this.holder =
-                new VersionHolder(timers, dialects.tableReader(), lease, new SuspensionWatch(), exchange::requestLease);
-        exchange.holder(holder);
-        DecisionLog log = new DecisionLog(SERVED_LINES, FAILED_LINES);
+        this.versionHolder = new VersionHolder(
+                timers, dialects.tableReader(), lease, new SuspensionWatch(), versionExchange::requestLease);
+        versionExchange.holder(versionHolder);
+        DecisionLog decisionLog = new DecisionLog(MAX_SERVED_LINES_PER_SECOND, MAX_FAILED_LINES_PER_SECOND);
         DirectClient client = new DirectClient(
-                loop, timers, new SharedIdleConnections(directory, holder::heldTable, () -> 1 + mesh.count()));
-        this.quarantine = new RequestQuarantine(mesh, timers, directory, client, log);
-        this.upstreamLimits = new UpstreamLimits(directory, log);
-        this.upstreamRests = new UpstreamBackoffs(directory, log);
+                loop,
+                timers,
+                new SharedIdleConnectionLimit(directory, versionHolder::heldTable, () -> 1 + mesh.count()));
+        this.quarantine = new RequestQuarantine(mesh, timers, directory, client, decisionLog);
+        this.upstreamLimits = new UpstreamLimits(directory, decisionLog);
+        this.upstreamBackoffs = new UpstreamBackoffs(directory, decisionLog);
         UpstreamPort port = new SignalReadingPort(
-                client, dialects.upstreamDialect(), upstreamLimits, upstreamRests, gossip, timers);
+                client, dialects.upstreamDialect(), upstreamLimits, upstreamBackoffs, gossip, timers);
         MeshRelay relay = new MeshRelay(mesh, registry);
         this.batches = new BatchService(
                 relay,
                 timers,
                 directory,
                 dialects.stagePort(port, timers),
-                pool -> holder.heldTable().flatMap(t -> t.findPool(pool)).flatMap(UpstreamPool::batchLimits),
-                new Packer(),
-                log);
+                pool -> versionHolder.heldTable().flatMap(t -> t.findPool(pool)).flatMap(UpstreamPool::batchLimits),
+                new OwnDispatcherStatus(),
+                decisionLog);
         relay.listener(batches);
         mesh.subscribe(relay);
-        LimitOwners keepers = new LimitOwners(mesh, this::serves, cutOff, directory, batches, holder::heldTable);
-        this.permits = new SendPermits(upstreamLimits, keepers, new MeshLink(mesh), timers);
-        batches.limitCallsWith(new RestrainedCalls(permits, upstreamRests, timers));
-        this.budget = new SharedRetryBudget(
+        LimitOwners limitOwners =
+                new LimitOwners(mesh, this::serves, isolation, directory, batches, versionHolder::heldTable);
+        this.permits = new SendPermits(upstreamLimits, limitOwners, new MeshPermitLink(mesh), timers);
+        batches.limitCallsWith(new BackpressureCallAdmission(permits, upstreamBackoffs, timers));
+        this.retryBudget = new SharedRetryBudget(
                 settings.retries().ratio(),
                 settings.retries().slack(),
                 settings.retries().window());
-        FirstEventLatencies firstEvents = new FirstEventLatencies();
-        ColdAdmission cold = new SenderSetAdmission(mesh.self(), mesh::serving, cutOff::isIsolated);
-        StageAdmission gate = new StageAdmission(batches::load, firstEvents);
+        FirstEventLatencies firstEventLatencies = new FirstEventLatencies();
+        ColdAdmission coldAdmission = new SenderSetAdmission(mesh.self(), mesh::serving, isolation::isIsolated);
+        StageAdmission stageAdmission = new StageAdmission(batches::load, firstEventLatencies);
         GatewayContext context = new GatewayContext(
                 timers,
                 dialects.callerDialect(),
@@ -189,79 +195,82 @@
                 new UpstreamChooser(
                         directory,
                         tracker,
-                        cold,
+                        coldAdmission,
                         permits,
-                        upstreamRests,
+                        upstreamBackoffs,
                         ThreadLocalRandom.current(),
                         settings.failureDomain()),
-                cold,
+                coldAdmission,
                 permits,
-                budget,
-                gate,
+                retryBudget,
+                stageAdmission,
                 new FetchTimeEstimator(),
-                firstEvents,
+                firstEventLatencies,
                 new StreamDurations(),
-                cutOff,
-                open,
+                isolation,
+                openRequests,
                 counters,
-                log,
+                decisionLog,
                 ThreadLocalRandom.current(),
                 new RetryAfterDelays(ThreadLocalRandom.current()),
                 quarantine);
         subscribe();
-        settings.dataFolder().ifPresent(folder -> keepMember(folder.resolve(GroupMember.NAME)));
+        settings.dataFolder().ifPresent(folder -> openMember(folder.resolve(ControlGroupMember.NAME)));
         this.service = new GatewayService(
-                context, holder::inForce, new StartupLeaseStatus(holder, mesh, () -> stopping, this::uptime));
-        IgnoredAnnouncements ignored = new IgnoredAnnouncements(timers, log);
-        GroupQuestions questions = new GroupQuestions(exchange, loop);
-        KnownDomains domains = new KnownDomains(settings, mesh, directory);
-        ControlRequestHandler desk = new ControlRequestHandler(
+                context,
+                versionHolder::inForce,
+                new StartupLeaseStatus(versionHolder, mesh, () -> stopping, this::uptime));
+        IgnoredAnnouncements ignoredAnnouncements = new IgnoredAnnouncements(timers, decisionLog);
+        ControlGroupClient controlGroup = new ControlGroupClient(versionExchange, loop);
+        KnownFailureDomains knownDomains = new KnownFailureDomains(settings, mesh, directory);
+        ControlRequestHandler controlHandler = new ControlRequestHandler(
                 gossip,
-                questions,
+                controlGroup,
                 dialects.tableReader(),
-                holder::heldTable,
-                ignored,
+                versionHolder::heldTable,
+                ignoredAnnouncements,
                 quarantine,
-                new EvacuationRequestHandler(questions, holder::evacuations, domains));
-        this.callers = new HttpListener(group, settings.callers(), this::callerLimits, service);
-        this.readiness = new HttpListener(group, settings.readiness(), () -> HttpLimits.DEFAULT, this::answerReadiness);
-        this.control = new HttpListener(
+                new EvacuationRequestHandler(controlGroup, versionHolder::evacuations, knownDomains));
+        this.callerListener = new HttpListener(group, settings.callers(), this::callerLimits, service);
+        this.readinessListener =
+                new HttpListener(group, settings.readiness(), () -> HttpLimits.DEFAULT, this::answerReadiness);
+        this.controlListener = new HttpListener(
                 group,
                 settings.control(),
-                () -> HttpLimits.DEFAULT.withMaxBody(CONTROL_BODY),
-                dialects.controlEndpoint(desk));
+                () -> HttpLimits.DEFAULT.withMaxBody(MAX_CONTROL_BODY_BYTES),
+                dialects.controlEndpoint(controlHandler));
         NodeState state = new NodeState(
                 this::serves,
                 mesh,
                 client,
-                exchange,
-                holder,
+                versionExchange,
+                versionHolder,
                 directory,
                 upstreamLimits,
                 permits,
-                upstreamRests,
+                upstreamBackoffs,
                 batches,
-                gate,
-                budget,
+                stageAdmission,
+                retryBudget,
                 counters,
                 quarantine,
-                ignored);
-        this.metrics = settings.metrics().flatMap(address -> openMetrics(address, state));
+                ignoredAnnouncements);
+        this.metricsListener = settings.metrics().flatMap(address -> openMetrics(address, state));
     }
 
     /**
      * Starts a node.
      *
      * @param settings its settings
-     * @param dialects what its callers, upstreams and operators speak
+     * @param dialects formats in which its callers, upstreams and operators communicate
      * @return the running node
-     * @throws IOException if its disk fails or an address is taken
+     * @throws IOException if its disk fails or an address is in use
      */
     public static GatewayNode start(GatewaySettings settings, GatewayDialects dialects) throws IOException {
         GatewayNode node = new GatewayNode(settings, dialects);
         node.mesh.start();
         node.loop.execute(() -> {
-            node.holder.start();
+            node.versionHolder.start();
             node.batches.start();
             node.tick();
         });
@@ -278,7 +287,7 @@
     }
 
     /**
-     * Takes other seeds, after a change of settings.
+     * Replaces the seeds after a change of settings.
      *
      * @param seeds mesh addresses
      */
@@ -288,8 +297,8 @@
     }
 
     /**
-     * Stops gracefully: new callers go elsewhere, requests in progress are finished. Returns when that is done or the
-     * grace is nearly over.
+     * Stops gracefully: new callers are sent to other nodes, and requests in progress are finished. Returns when that
+     * is done or the grace period is nearly over.
      *
      * @throws InterruptedException if the wait is interrupted
      */
@@ -300,13 +309,13 @@
         LOGGER.info("event=stopped process={} open={}", settings.name(), counters.open());
     }
 
-    /** Ends at once, as a crash would; for tests. */
+    /** Stops at once, like a crash; for tests. */
     public void kill() {
-        member.ifPresent(GroupMember::close);
-        for (HttpListener listener : List.of(callers, readiness, control)) {
+        member.ifPresent(ControlGroupMember::close);
+        for (HttpListener listener : List.of(callerListener, readinessListener, controlListener)) {
             listener.close();
         }
-        metrics.ifPresent(HttpListener::close);
+        metricsListener.ifPresent(HttpListener::close);
         transport.close();
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
     }
@@ -316,49 +325,53 @@
             HttpRequestHandler handler = new GatewayMetrics(state);
             return Optional.of(new HttpListener(group, address, () -> HttpLimits.DEFAULT, handler));
         } catch (RuntimeException e) {
-            // A node that can't be measured still serves.
+            // A node whose metrics cannot be read still serves.
             LOGGER.warn("event=metrics-not-served address={} reason=\"{}\"", address, e.toString());
             return Optional.empty();
         }
     }
 
     private void subscribe() {
-        mesh.subscribe(cutOff);
+        mesh.subscribe(isolation);
         mesh.subscribe(gossip);
-        // After the upstreams: a node that has just come knows nothing of a limit whose upstream it does not know.
+        // After the upstream gossip: a node that has just joined cannot apply the limit of an upstream that it does not
+        // know.
         mesh.subscribe(new LimitGossip(mesh, timers, upstreamLimits, permits));
-        mesh.subscribe(exchange);
+        mesh.subscribe(versionExchange);
         mesh.subscribe(batches);
         mesh.subscribe(quarantine);
         mesh.subscribe(new MeshListener() {
             @Override
             public void onNodeUp(MeshNode node) {
-                budget.nodes(mesh.count() + 1);
+                retryBudget.setNodeCount(mesh.count() + 1);
             }
 
             @Override
             public void onNodeDown(MeshNode node) {
-                budget.nodes(mesh.count() + 1);
+                retryBudget.setNodeCount(mesh.count() + 1);
             }
         });
-        directory.subscribe(this::upstreamChanged);
-        holder.subscribe(table -> directory.setColdTimes(table.coldNanosByPool()));
-        holder.subscribeEvacuations(news -> directory.evacuate(Set.copyOf(news.failureDomains()), timers.nanoTime()));
+        directory.subscribe(this::onUpstreamChange);
+        versionHolder.subscribe(table -> directory.setColdTimes(table.coldNanosByPool()));
+        versionHolder.subscribeEvacuations(
+                update -> directory.evacuate(Set.copyOf(update.failureDomains()), timers.nanoTime()));
     }
 
-    private void upstreamChanged(UpstreamRecord news) {
-        if (news.phase() == UpstreamPhase.GONE) {
-            tracker.forget(news.id());
+    private void onUpstreamChange(UpstreamRecord update) {
+        if (update.phase() == UpstreamPhase.GONE) {
+            tracker.forget(update.id());
         } else {
-            tracker.updateIncarnation(news.id(), news.incarnation());
+            tracker.updateIncarnation(update.id(), update.incarnation());
         }
     }
 
-    private void keepMember(Path folder) {
-        VoterDiscovery roster = new VoterDiscovery(mesh, timers, settings.firstStart(), settings.toleratedLosses());
-        mesh.subscribe(roster);
+    private void openMember(Path folder) {
+        VoterDiscovery voterDiscovery =
+                new VoterDiscovery(mesh, timers, settings.firstStart(), settings.toleratedLosses());
+        mesh.subscribe(voterDiscovery);
         Supplier<WireTransport> transports = () -> new WireTransport(group, registry, greeting, MeshSettings.LIMITS);
-        member = Optional.of(new GroupMember(settings, folder, roster, exchange, transports, loop));
+        member = Optional.of(
+                new ControlGroupMember(settings, folder, voterDiscovery, versionExchange, transports, loop));
     }
 
     private NodeHelloMessage hello() {
@@ -367,20 +380,20 @@
                 settings.failureDomain(),
                 settings.dataFolder().isPresent(),
                 serves(),
-                member.map(GroupMember::isGrouped).orElse(false),
-                exchange.status().term(),
-                exchange.status().leader(),
-                holder.version(),
+                member.map(ControlGroupMember::hasSeenGroup).orElse(false),
+                versionExchange.status().term(),
+                versionExchange.status().leader(),
+                versionHolder.version(),
                 fitness());
     }
 
     /**
-     * Says how fit this node is to pack calls. Members of the control group come after others of their size: while they are
-     * cut off from each other, and all others still reach them, two of them would pack the calls of one pool, and half of
-     * these calls would find their upstream full.
+     * Returns how well this node is suited as a dispatcher. Members of the control group rank after other nodes of
+     * their size: while they are partitioned from each other but still reached by all others, two of them would
+     * dispatch the calls of one pool, and half of these calls would find their upstream full.
      */
     private int fitness() {
-        if (settings.cores() < PACKING_CORES) {
+        if (settings.cores() < MIN_DISPATCHER_CORES) {
             return 0;
         }
         return settings.dataFolder().isPresent() ? 1 : 2;
@@ -393,21 +406,21 @@
             LOGGER.info(
                     "event=readiness ready={} version={} nodes={} uptime_ms={}",
                     ready,
-                    holder.version(),
+                    versionHolder.version(),
                     mesh.count(),
                     uptime().toMillis());
             mesh.announce();
         }
         permits.removeStale();
-        upstreamRests.removeStale();
-        timers.schedule(TICK.toNanos(), this::tick);
+        upstreamBackoffs.removeStale();
+        timers.schedule(TICK_INTERVAL.toNanos(), this::tick);
     }
 
     private boolean isReady() {
-        if (stopping || holder.inForce().isEmpty()) {
+        if (stopping || versionHolder.inForce().isEmpty()) {
             return false;
         }
-        Duration needed = mesh.nodes().isEmpty() ? LONELY_TIME : VIEW_TIME;
+        Duration needed = mesh.nodes().isEmpty() ? SINGLE_NODE_DELAY : NODE_EXCHANGE_TIME;
         return ready || uptime().compareTo(needed) > 0;
     }
 
@@ -419,14 +432,14 @@
         return ready && !stopping;
     }
 
-    private void answerReadiness(HttpExchange question) {
+    private void answerReadiness(HttpExchange probe) {
         boolean serves = serves();
         byte[] body = ("{\"ready\":" + serves + "}").getBytes(StandardCharsets.UTF_8);
-        question.respond(serves ? OK : UNAVAILABLE, "application/json", Map.of(), body);
+        probe.respond(serves ? OK : UNAVAILABLE, "application/json", Map.of(), body);
     }
 
     private HttpLimits callerLimits() {
-        CallerLimits limits = holder.heldTable().map(RouteTable::limits).orElse(CallerLimits.DEFAULT);
+        CallerLimits limits = versionHolder.heldTable().map(RouteTable::limits).orElse(CallerLimits.DEFAULT);
         HttpLimits base = HttpLimits.DEFAULT;
         return new HttpLimits(
                 limits.maxHeaderBytes(),
@@ -444,12 +457,12 @@
         stopping = true;
         ready = false;
         mesh.announce();
-        callers.announceStop();
-        new GracefulStop(timers, service, open, callers, batches).begin(settings.stopGrace(), done);
+        callerListener.announceStop();
+        new GracefulStop(timers, service, openRequests, callerListener, batches).begin(settings.stopGrace(), done);
     }
 
-    /** This node's part in packing calls. */
-    private final class Packer implements DispatcherStatus {
+    /** Reports to the batch service whether and how well this node is suited as a dispatcher. */
+    private final class OwnDispatcherStatus implements DispatcherStatus {
         @Override
         public boolean isServing() {
             return serves();
--- a/library/src/main/java/org/copperspindle/gateway/GatewayRequest.java
+++ b/library/src/main/java/org/copperspindle/gateway/GatewayRequest.java
@@ -7,20 +7,20 @@
 import org.copperspindle.http.HeaderField;
 
 /**
- * A caller's request, decoded.
+ * A decoded request of a caller.
  *
- * @param id             identity that the caller gave it; each attempt of a caller has its own
+ * @param id             id given by the caller; each attempt of a caller has its own
  * @param method         HTTP method
- * @param uri            target as it stood in the request line
- * @param host           host that it names
+ * @param uri            target as in the request line
+ * @param host           host named by the request
  * @param body           body, empty for none
  * @param key            key of a client account
- * @param deadlineMillis how long the caller waits
- * @param resumeAfter    id of the last event of an earlier answer, if the caller goes on with a stream
- * @param prompt         parts of the prompt in order; the last belongs to the request or its session alone
- * @param pieces         pieces of each stage, by number of the stage
+ * @param deadlineMillis caller's timeout in milliseconds, if stated
+ * @param resumeAfter    id of the last event of an earlier response, if the caller resumes a stream
+ * @param prompt         parts of the prompt in order; the last belongs to this request or its session alone
+ * @param pieces         number of pieces of each stage, by stage number
  * @param pieceKey       key of its pieces, empty if it has none
- * @param fields         header fields to pass on
+ * @param fields         header fields to forward
  */
 public record GatewayRequest(
         String id,
@@ -46,7 +46,7 @@
     /**
      * Returns the path without the query.
      *
-     * @return not decoded
+     * @return the path as received, not decoded
      */
     public String path() {
         int query = uri.indexOf('?');
@@ -54,7 +54,7 @@
     }
 
     /**
-     * Returns the deepest part of the prompt that other requests share.
+     * Returns the last part of the prompt that other requests share.
      *
      * @return its id, empty if the request has no prompt
      */
@@ -75,7 +75,7 @@
     }
 
     /**
-     * Returns the length of what other requests share of the prompt.
+     * Returns the length of the part of the prompt that other requests share.
      *
      * @return tokens of all parts but the last
      */
--- a/library/src/main/java/org/copperspindle/gateway/GatewayRequestResult.java
+++ b/library/src/main/java/org/copperspindle/gateway/GatewayRequestResult.java
@@ -1,19 +1,19 @@
 package org.copperspindle.gateway;
 
 /**
- * How reading a caller's request ended.
+ * Result of decoding a caller's request.
  */
 public sealed interface GatewayRequestResult {
 
     /**
-     * It can be served.
+     * The request is well-formed.
      *
      * @param request the request
      */
     record Valid(GatewayRequest request) implements GatewayRequestResult {}
 
     /**
-     * It is not a proper request.
+     * The request is malformed.
      *
      * @param problem what is wrong
      */
--- a/library/src/main/java/org/copperspindle/gateway/GatewayService.java
+++ b/library/src/main/java/org/copperspindle/gateway/GatewayService.java
@@ -13,40 +13,40 @@
 import org.copperspindle.route.RouteTable;
 
 /**
- * Admits callers' requests: by the table in force, its routes and its keys. Network thread only.
+ * Admits or refuses callers' requests by the routes and keys of the table in force. Runs on the network thread only.
  */
 final class GatewayService implements HttpRequestHandler {
 
     private static final Logger LOGGER = LogManager.getLogger(GatewayService.class);
 
-    /** Another node can take the request at once. */
-    private static final Duration STOP_RETURN = Duration.ofMillis(100);
+    /** Another node can accept the request at once. */
+    private static final Duration STOP_RETRY_AFTER = Duration.ofMillis(100);
 
-    /** A waiting request is looked at again so often: a small part of the wait. */
-    private static final long LEASE_LOOK_NANOS = Duration.ofMillis(25).toNanos();
+    /** Interval at which a waiting request is checked again: a small part of the wait. */
+    private static final long LEASE_POLL_NANOS = Duration.ofMillis(25).toNanos();
 
     private final GatewayContext context;
     private final Supplier<Optional<RouteTable>> tables;
-    private final LeaseStatus leases;
+    private final LeaseStatus leaseStatus;
     private final LeaseWait leaseWait;
-    private final PriorWaitEstimator waits = new PriorWaitEstimator();
+    private final PriorWaitEstimator priorWaits = new PriorWaitEstimator();
     private boolean refusesAll;
 
     /**
      * Creates the service.
      *
-     * @param context what all requests share
-     * @param tables  the table in force, empty without a lease
-     * @param leases  what callers may expect without one
+     * @param context     components that all requests share
+     * @param tables      supplies the table in force, empty without a lease
+     * @param leaseStatus status of the lease, for requests that arrive without one
      */
-    GatewayService(GatewayContext context, Supplier<Optional<RouteTable>> tables, LeaseStatus leases) {
+    GatewayService(GatewayContext context, Supplier<Optional<RouteTable>> tables, LeaseStatus leaseStatus) {
         this.context = context;
         this.tables = tables;
-        this.leases = leases;
-        this.leaseWait = new LeaseWait(leases);
+        this.leaseStatus = leaseStatus;
+        this.leaseWait = new LeaseWait(leaseStatus);
     }
 
-    /** Refuses requests from now on: they would not be finished before this node ends. */
+    /** Refuses all requests from now on: they would not be finished before this node stops. */
     void refuseAll() {
         refusesAll = true;
     }
@@ -64,19 +64,20 @@
     private void admit(HttpExchange exchange, GatewayRequest request, long arrivedAt) {
         Optional<RouteTable> table = tables.get();
         if (refusesAll) {
-            refuse(exchange, request.id(), Refusal.unavailable("stopping", "this node stops", STOP_RETURN), table);
+            refuse(exchange, request.id(), Refusal.unavailable("stopping", "this node stops", STOP_RETRY_AFTER), table);
             return;
         }
         if (table.isEmpty()
-                && leaseWait.isWorth(request.deadlineMillis(), context.timers().nanoTime() - arrivedAt)) {
-            context.timers().schedule(LEASE_LOOK_NANOS, () -> admit(exchange, request, arrivedAt));
+                && leaseWait.shouldWait(
+                        request.deadlineMillis(), context.timers().nanoTime() - arrivedAt)) {
+            context.timers().schedule(LEASE_POLL_NANOS, () -> admit(exchange, request, arrivedAt));
             return;
         }
         if (table.isEmpty()) {
             Refusal refusal = Refusal.unavailable(
                     "no-lease",
                     "this node does not know whether it holds the newest configuration",
-                    leases.returnAfter());
+                    leaseStatus.retryAfter());
             refuse(exchange, request.id(), refusal, table);
             return;
         }
@@ -91,7 +92,7 @@
             return;
         }
         String pool = route.get().choosePool(context.random().nextDouble());
-        long waited = waits.waitedMillis(route.get().name(), request.deadlineMillis());
+        long waited = priorWaits.waitedMillis(route.get().name(), request.deadlineMillis());
         RequestTimes times = RequestTimes.of(
                 route.get(),
                 request.deadlineMillis(),
@@ -103,7 +104,7 @@
     }
 
     private void refuse(HttpExchange exchange, String id, Refusal refusal, Optional<RouteTable> table) {
-        context.counters().refused(refusal.verdict().reason());
+        context.counters().recordRefusal(refusal.verdict().reason());
         if (context.log().takesFailed(context.timers().nanoTime())) {
             LOGGER.info(
                     "event=request-refused request={} status={} reason={} version={} retry_after_ms={} detail=\"{}\"",
--- a/library/src/main/java/org/copperspindle/gateway/GatewaySettings.java
+++ b/library/src/main/java/org/copperspindle/gateway/GatewaySettings.java
@@ -8,25 +8,26 @@
 import java.util.Set;
 
 /**
- * Settings of a node that stands directly before upstreams.
+ * Settings of a node directly in front of upstreams.
  *
  * @param name            name of the process, for logs
  * @param failureDomain   its failure domain
- * @param callers         where callers connect
- * @param readiness       where a balancer asks whether the node is ready
- * @param control         where operators and upstreams connect
- * @param mesh            where other nodes connect; the next port is taken by the control group
- * @param meshBind        where it listens for other nodes, if a forwarder stands before that; the next port as well
- * @param metrics         where metrics are read, if anywhere
- * @param seeds           mesh addresses of a few nodes
- * @param dataFolder      folder on a disk; a node that has one is a member of the control group
- * @param firstStart      true only when the whole deployment starts for the first time, with empty disks
- * @param toleratedLosses members of the control group whose loss at once must be borne
- * @param revocation      time after which a key that was taken away must be dead everywhere
- * @param retries         bound on repeats
- * @param stopGrace       time from the order to stop to the end of the process
+ * @param callers         address for callers
+ * @param readiness       address of the readiness check for load balancers
+ * @param control         address for operators and upstreams
+ * @param mesh            address for other nodes; the next port is used by the control group
+ * @param meshBind        address to listen on for other nodes, if a forwarder stands in front of it; the next port as
+ *                        well
+ * @param metrics         address for reading metrics, if any
+ * @param seeds           mesh addresses of a few nodes to connect to first
+ * @param dataFolder      folder on a disk; a node that has one has a member of the control group
+ * @param firstStart      true only if the whole deployment starts for the first time, with empty disks
+ * @param toleratedLosses members of the control group whose simultaneous loss must be tolerated
+ * @param revocation      time after which a revoked key must be invalid everywhere
+ * @param retries         limits on retries
+ * @param stopGrace       time from the stop signal to the end of the process
  * @param cores           cores of its VM that the process may use, a fraction for less than one
- * @param failureDomains  names of all failure domains of the deployment, as far as they are known beforehand
+ * @param failureDomains  names of all failure domains of the deployment, as far as they are known in advance
  */
 public record GatewaySettings(
         String name,
@@ -54,10 +55,10 @@
     }
 
     /**
-     * Bound on requests that are sent to a second upstream, over all nodes.
+     * Limits on retries at a second upstream, over all nodes.
      *
-     * @param ratio  repeats for each request of a window
-     * @param slack  repeats in a window besides
+     * @param ratio  retries per request of a window
+     * @param slack  additional retries in a window
      * @param window length of a window
      */
     public record RetryLimits(double ratio, double slack, Duration window) {}
--- a/library/src/main/java/org/copperspindle/gateway/GatewaySettingsReader.java
+++ b/library/src/main/java/org/copperspindle/gateway/GatewaySettingsReader.java
@@ -18,9 +18,9 @@
     /** Name of the section; a settings file that has it describes a node. */
     public static final String SECTION = "node";
 
-    private static final int MOST_LOSSES = 4;
-    private static final int MOST_REPEATS = 1_000_000;
-    private static final int MOST_CORES = 1024;
+    private static final int MAX_TOLERATED_LOSSES = 4;
+    private static final int MAX_RETRY_SLACK = 1_000_000;
+    private static final int MAX_CORES = 1024;
 
     private GatewaySettingsReader() {}
 
@@ -29,7 +29,7 @@
      *
      * @param file the file
      * @return the settings
-     * @throws SettingsException with every fault found
+     * @throws SettingsException listing every problem found
      */
     public static GatewaySettings read(SettingsFile file) throws SettingsException {
         SettingsSection s = file.section(SECTION);
@@ -46,14 +46,14 @@
                 s.getAddresses("seeds"),
                 folder.isEmpty() ? Optional.empty() : Optional.of(Path.of(folder)),
                 s.getBoolean("first-start", Optional.of(false)),
-                (int) s.getLong("tolerated-losses", 0, MOST_LOSSES, Optional.of(1L)),
+                (int) s.getLong("tolerated-losses", 0, MAX_TOLERATED_LOSSES, Optional.of(1L)),
                 s.getDuration("revocation", Optional.of(Duration.ofSeconds(5))),
                 new GatewaySettings.RetryLimits(
                         s.getDouble("retry-ratio", 0, 1, Optional.of(0.2)),
-                        s.getDouble("retry-slack", 0, MOST_REPEATS, Optional.of(20.0)),
+                        s.getDouble("retry-slack", 0, MAX_RETRY_SLACK, Optional.of(20.0)),
                         s.getDuration("retry-window", Optional.of(Duration.ofSeconds(10)))),
                 s.getDuration("stop-grace", Optional.of(Duration.ofSeconds(8))),
-                s.getDouble("cores", 0, MOST_CORES, Optional.of(1.0)),
+                s.getDouble("cores", 0, MAX_CORES, Optional.of(1.0)),
                 Set.copyOf(s.getList(
                         "failure-domains", "names of failure domains, separated by commas", Optional.of(List.of()))));
         s.finish();
--- a/library/src/main/java/org/copperspindle/gateway/GracefulStop.java
+++ b/library/src/main/java/org/copperspindle/gateway/GracefulStop.java
@@ -7,66 +7,72 @@
 import org.copperspindle.time.TimerService;
 
 /**
- * A planned stop of a node: callers go elsewhere, requests in progress are finished, and what can't be finished within the
- * grace gets its answer before that is over. Network thread only.
+ * Planned stop of a node: new callers are sent to other nodes, requests in progress are finished, and what cannot be
+ * finished within the grace period is answered before it is over. Runs on the network thread only.
  */
 final class GracefulStop {
 
-    /** A balancer that asks every second needs two misses to send no new connections. */
-    private static final Duration BALANCER_NOTICE = Duration.ofMillis(2600);
+    /** A load balancer that probes every second stops sending new connections after two failed probes. */
+    private static final Duration BALANCER_DETECTION_TIME = Duration.ofMillis(2600);
 
-    /** Part of the grace after which a request that no upstream has got yet is refused: it needs the rest elsewhere. */
-    private static final double UNSENT_SHARE = 0.6;
+    /**
+     * Share of the grace period after which requests that no upstream has received are refused: they need the rest of
+     * the time at another node.
+     */
+    private static final double UNSENT_REFUSAL_SHARE = 0.6;
 
-    /** Left of the grace for last answers to reach their callers and connections to be closed in order. */
+    /**
+     * Time kept at the end of the grace period for the last responses to reach their callers and for connections to be
+     * closed in order.
+     */
     private static final Duration STOP_RESERVE = Duration.ofMillis(450);
 
-    private static final Duration LOOK = Duration.ofMillis(100);
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(100);
 
     private final TimerService timers;
     private final GatewayService service;
-    private final OpenRequests open;
+    private final OpenRequests openRequests;
     private final HttpListener callers;
     private final BatchService batches;
 
     GracefulStop(
             TimerService timers,
             GatewayService service,
-            OpenRequests open,
+            OpenRequests openRequests,
             HttpListener callers,
             BatchService batches) {
         this.timers = timers;
         this.service = service;
-        this.open = open;
+        this.openRequests = openRequests;
         this.callers = callers;
         this.batches = batches;
     }
 
     /**
-     * Begins to stop.
+     * Begins the stop.
      *
-     * @param stopGrace until the process is killed
-     * @param done      run once nothing is in progress, or when the grace is nearly over
+     * @param stopGrace time until the process is killed
+     * @param done      run once nothing is in progress or the grace period is nearly over
      */
     void begin(Duration stopGrace, Runnable done) {
         long grace = stopGrace.toNanos();
-        long last = grace - STOP_RESERVE.toNanos();
-        timers.schedule(BALANCER_NOTICE.toNanos(), service::refuseAll);
-        timers.schedule((long) (grace * UNSENT_SHARE), open::refuseUnsent);
-        timers.schedule(last, open::abortAll);
-        long end = timers.nanoTime() + last;
-        timers.schedule(BALANCER_NOTICE.toNanos(), () -> awaitIdle(end, done));
+        long abortAfter = grace - STOP_RESERVE.toNanos();
+        timers.schedule(BALANCER_DETECTION_TIME.toNanos(), service::refuseAll);
+        timers.schedule((long) (grace * UNSENT_REFUSAL_SHARE), openRequests::refuseUnsent);
+        timers.schedule(abortAfter, openRequests::abortAll);
+        long endAt = timers.nanoTime() + abortAfter;
+        timers.schedule(BALANCER_DETECTION_TIME.toNanos(), () -> awaitIdle(endAt, done));
     }
 
-    private void awaitIdle(long end, Runnable done) {
-        boolean idle = open.count() == 0
+    private void awaitIdle(long endAt, Runnable done) {
+        boolean idle = openRequests.count() == 0
                 && batches.waitingPieces() == 0
                 && callers.counters().inProgress() == 0;
-        if (!idle && timers.nanoTime() - end < 0) {
-            timers.schedule(LOOK.toNanos(), () -> awaitIdle(end, done));
+        if (!idle && timers.nanoTime() - endAt < 0) {
+            timers.schedule(POLL_INTERVAL.toNanos(), () -> awaitIdle(endAt, done));
             return;
         }
         callers.stopAccepting();
-        timers.schedule(LOOK.toNanos(), done);
+        timers.schedule(POLL_INTERVAL.toNanos(), done);
     }
 }
--- a/library/src/main/java/org/copperspindle/gateway/IgnoredAnnouncements.java
+++ b/library/src/main/java/org/copperspindle/gateway/IgnoredAnnouncements.java
@@ -9,15 +9,15 @@
 import org.copperspindle.time.TimerService;
 
 /**
- * Counts announcements that name no upstream: what can't be read, or is of a pool that no table has. They change nothing;
- * whoever looks for an upstream that is not used finds the reason here.
+ * Counts announcements that do not identify an upstream: they are unreadable, or for a pool that the table does not
+ * have. They change nothing; the counts and log lines explain why an upstream is not used.
  */
 final class IgnoredAnnouncements {
 
     private static final Logger LOGGER = LogManager.getLogger(IgnoredAnnouncements.class);
 
-    /** Longest part of what a stranger wrote that goes into a line. */
-    private static final int MAX_TEXT = 120;
+    /** Maximum number of characters of untrusted text in a log line. */
+    private static final int MAX_LOGGED_CHARS = 120;
 
     private final Map<String, Long> counts = new TreeMap<>();
     private final TimerService timers;
@@ -29,10 +29,10 @@
     }
 
     /**
-     * Counts one.
+     * Counts an announcement.
      *
-     * @param id     id that it came under
-     * @param reason why it is ignored, one of a few
+     * @param id     id in the request path
+     * @param reason why it is ignored, one of a small fixed set
      * @param detail what is wrong with it
      */
     void add(String id, String reason, String detail) {
@@ -40,19 +40,19 @@
         if (log.takesFailed(timers.nanoTime())) {
             LOGGER.warn(
                     "event=announcement-ignored upstream={} reason={} detail=\"{}\"",
-                    bounded(id),
+                    sanitized(id),
                     reason,
-                    bounded(String.valueOf(detail)));
+                    sanitized(String.valueOf(detail)));
         }
     }
 
-    /** Returns counts by reason. */
+    /** Returns the counts by reason. */
     Map<String, Long> counts() {
         return counts;
     }
 
-    private static String bounded(String text) {
-        String line = text.replaceAll("[\\p{Cntrl}\"]", " ");
-        return line.length() <= MAX_TEXT ? line : line.substring(0, MAX_TEXT);
+    private static String sanitized(String text) {
+        String printable = text.replaceAll("[\\p{Cntrl}\"]", " ");
+        return printable.length() <= MAX_LOGGED_CHARS ? printable : printable.substring(0, MAX_LOGGED_CHARS);
     }
 }
--- a/library/src/main/java/org/copperspindle/gateway/KnownFailureDomains.java
+++ b/library/src/main/java/org/copperspindle/gateway/KnownFailureDomains.java
@@ -6,11 +6,12 @@
 import org.copperspindle.mesh.NodeMesh;
 
 /**
- * The names of failure domains that an operator may give: those of the settings, of nodes and of upstreams. An order on any other
- * name is a slip of the pen, and would be acknowledged without any effect. Where settings declare none, any name is taken: a node that
- * has just started has seen neither nodes nor upstreams, and must not refuse an order that another one has taken.
+ * Names of failure domains that an operator may use: those of the settings, of nodes and of upstreams. A command for
+ * any other name is probably mistyped, and would be acknowledged without any effect. If the settings declare none, any
+ * name is accepted: a node that has just started knows neither nodes nor upstreams, and must not refuse a command that
+ * another node has accepted.
  */
-final class KnownDomains {
+final class KnownFailureDomains {
 
     private final Set<String> declared;
     private final String own;
@@ -18,13 +19,13 @@
     private final UpstreamDirectory directory;
 
     /**
-     * Creates the rule.
+     * Creates the check.
      *
      * @param settings  settings of this node
      * @param mesh      the other nodes
      * @param directory the upstreams
      */
-    KnownDomains(GatewaySettings settings, NodeMesh mesh, UpstreamDirectory directory) {
+    KnownFailureDomains(GatewaySettings settings, NodeMesh mesh, UpstreamDirectory directory) {
         this.declared = settings.failureDomains();
         this.own = settings.failureDomain();
         this.mesh = mesh;
--- a/library/src/main/java/org/copperspindle/gateway/LeaseStatus.java
+++ b/library/src/main/java/org/copperspindle/gateway/LeaseStatus.java
@@ -3,13 +3,16 @@
 import java.time.Duration;
 
 /**
- * What callers may expect of a node that has no lease.
+ * Status of the configuration lease of a node, as far as it concerns callers.
  */
 interface LeaseStatus {
 
-    /** Says whether the node has just started and its first lease is under way: callers had better wait here than come back. */
-    boolean isUnderWay();
+    /**
+     * Returns whether the node has just started and its first lease is pending: callers should wait here rather than
+     * retry.
+     */
+    boolean isFirstLeasePending();
 
-    /** Returns when a caller should come back that is refused for want of a lease. */
-    Duration returnAfter();
+    /** Returns the delay after which a caller that was refused for lack of a lease should retry. */
+    Duration retryAfter();
 }
--- a/library/src/main/java/org/copperspindle/gateway/LeaseWait.java
+++ b/library/src/main/java/org/copperspindle/gateway/LeaseWait.java
@@ -6,33 +6,35 @@
 /**
  * Decides whether a request waits for the first lease of a node that has just started.
  *
- * <p>The load it answers: all nodes start together after a loss of power, and callers come to those that listen. Most callers come back
- * once only: sent away, they would use that up while the node's lease is under way.
+ * <p>After a power loss all nodes start together, and callers connect to those that listen. Most callers retry only
+ * once: if refused, they would use up their retry while the lease of the node is pending.
  */
 final class LeaseWait {
 
-    /** A node without a disk has its first lease within so long of its start, once there is a leader. */
-    private static final long LONGEST_NANOS = Duration.ofMillis(800).toNanos();
+    /** A node without a disk gets its first lease within this time of its start, once there is a leader. */
+    private static final long MAX_WAIT_NANOS = Duration.ofMillis(800).toNanos();
 
-    /** Part of its time that a caller waits at most: with the rest it may still come back. */
-    private static final double PART = 0.25;
+    /** Maximum share of the caller's timeout that a request waits; in the rest the caller may still retry. */
+    private static final double MAX_TIMEOUT_SHARE = 0.25;
 
     private static final double NANOS_PER_MILLI = 1e6;
 
-    private final LeaseStatus leases;
+    private final LeaseStatus leaseStatus;
 
-    LeaseWait(LeaseStatus leases) {
-        this.leases = leases;
+    LeaseWait(LeaseStatus leaseStatus) {
+        this.leaseStatus = leaseStatus;
     }
 
     /**
-     * Says whether it is worth waiting on.
+     * Returns whether a request should wait any longer.
      *
-     * @param deadlineMillis how long the caller waits in all, if it says so
-     * @param waitedNanos    how long it has waited here
+     * @param deadlineMillis the caller's timeout in milliseconds, if stated
+     * @param waitedNanos    how long the request has waited here
      */
-    boolean isWorth(OptionalLong deadlineMillis, long waitedNanos) {
-        double part = deadlineMillis.isPresent() ? PART * deadlineMillis.getAsLong() * NANOS_PER_MILLI : LONGEST_NANOS;
-        return leases.isUnderWay() && waitedNanos < Math.min(LONGEST_NANOS, part);
+    boolean shouldWait(OptionalLong deadlineMillis, long waitedNanos) {
+        double maxShareNanos = deadlineMillis.isPresent()
+                ? MAX_TIMEOUT_SHARE * deadlineMillis.getAsLong() * NANOS_PER_MILLI
+                : MAX_WAIT_NANOS;
+        return leaseStatus.isFirstLeasePending() && waitedNanos < Math.min(MAX_WAIT_NANOS, maxShareNanos);
     }
 }
--- a/library/src/main/java/org/copperspindle/gateway/LimitOwners.java
+++ b/library/src/main/java/org/copperspindle/gateway/LimitOwners.java
@@ -16,47 +16,47 @@
 import org.copperspindle.routing.RendezvousScore;
 
 /**
- * Chooses who keeps the limit of an upstream: for stage pools the node that packs their calls, which sends nearly all that they get,
- * for others one of the serving nodes by rendezvous.
+ * Selects the owner of an upstream's limit: for stage pools the dispatcher of the pool, which sends nearly all calls
+ * that the upstream gets, for others one of the serving nodes by rendezvous hashing.
  */
 final class LimitOwners implements LimitOwnerSelector {
 
     private final NodeMesh mesh;
     private final BooleanSupplier serves;
-    private final IsolationDetector cutOff;
+    private final IsolationDetector isolation;
     private final UpstreamDirectory directory;
     private final BatchService batches;
-    private final Supplier<Optional<RouteTable>> table;
+    private final Supplier<Optional<RouteTable>> currentTable;
 
     /**
-     * Creates the choice.
+     * Creates the selector.
      *
-     * @param mesh      the nodes
-     * @param serves    says whether this node serves
-     * @param cutOff    says whether this node sees few of the others
-     * @param directory the upstreams
-     * @param batches   knows who packs the calls of a pool
-     * @param table     the route table held
+     * @param mesh         the nodes
+     * @param serves       whether this node serves
+     * @param isolation    detects that this node is isolated from the others
+     * @param directory    the upstreams
+     * @param batches      knows the dispatcher of each pool
+     * @param currentTable supplies the route table held
      */
     LimitOwners(
             NodeMesh mesh,
             BooleanSupplier serves,
-            IsolationDetector cutOff,
+            IsolationDetector isolation,
             UpstreamDirectory directory,
             BatchService batches,
-            Supplier<Optional<RouteTable>> table) {
+            Supplier<Optional<RouteTable>> currentTable) {
         this.mesh = mesh;
         this.serves = serves;
-        this.cutOff = cutOff;
+        this.isolation = isolation;
         this.directory = directory;
         this.batches = batches;
-        this.table = table;
+        this.currentTable = currentTable;
     }
 
     @Override
     public Optional<String> owner(String upstream) {
-        if (cutOff.isIsolated()) {
-            // The others go on with a keeper of their own.
+        if (isolation.isIsolated()) {
+            // The other nodes select an owner of their own.
             return Optional.empty();
         }
         return directory.find(upstream).map(UpstreamRecord::pool).flatMap(pool -> owner(upstream, pool));
@@ -76,8 +76,9 @@
     }
 
     private boolean isStagePool(String pool) {
-        return table.get()
-                .flatMap(held -> held.findPool(pool))
+        return currentTable
+                .get()
+                .flatMap(heldTable -> heldTable.findPool(pool))
                 .flatMap(UpstreamPool::batchLimits)
                 .isPresent();
     }
--- a/library/src/main/java/org/copperspindle/gateway/MeshPermitLink.java
+++ b/library/src/main/java/org/copperspindle/gateway/MeshPermitLink.java
@@ -5,13 +5,13 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * Reaches the keepers of limits among the connected nodes.
+ * Sends messages to the owners of limits over the connections between nodes.
  */
-final class MeshLink implements SendPermits.Link {
+final class MeshPermitLink implements SendPermits.Link {
 
     private final NodeMesh mesh;
 
-    MeshLink(NodeMesh mesh) {
+    MeshPermitLink(NodeMesh mesh) {
         this.mesh = mesh;
     }
 
--- a/library/src/main/java/org/copperspindle/gateway/NodeMemberOpener.java
+++ b/library/src/main/java/org/copperspindle/gateway/NodeMemberOpener.java
@@ -31,8 +31,8 @@
     private final Supplier<WireTransport> transports;
     private final ConsensusSettings settings;
     private final InetSocketAddress bind;
-    private final VersionObserver recorded;
-    private final Consumer<MemberStatus> status;
+    private final VersionObserver observer;
+    private final Consumer<MemberStatus> statusListener;
     private volatile Optional<WireTransport> transport = Optional.empty();
 
     NodeMemberOpener(
@@ -41,38 +41,38 @@
             Supplier<WireTransport> transports,
             ConsensusSettings settings,
             InetSocketAddress bind,
-            VersionObserver recorded,
-            Consumer<MemberStatus> status) {
+            VersionObserver observer,
+            Consumer<MemberStatus> statusListener) {
         this.ring = ring;
         this.timers = timers;
         this.transports = transports;
         this.settings = settings;
         this.bind = bind;
-        this.recorded = recorded;
-        this.status = status;
+        this.observer = observer;
+        this.statusListener = statusListener;
     }
 
     @Override
     public VersionMember open() throws IOException {
-        // The stopped member's listening socket holds the address that the next one needs.
+        // The stopped member's listening socket occupies the address that the next one needs.
         transport.ifPresent(WireTransport::close);
         WireTransport own = transports.get();
         transport = Optional.of(own);
-        return VersionMember.open(ring, timers, own, settings, bind, new VersionState(recorded), status);
+        return VersionMember.open(ring, timers, own, settings, bind, new VersionState(observer), statusListener);
     }
 
     @Override
     public void dropRecords() throws IOException {
-        List<Path> records = new ArrayList<>();
-        try (Stream<Path> files = Files.list(settings.dataFolder())) {
-            files.forEach(records::add);
+        List<Path> files = new ArrayList<>();
+        try (Stream<Path> listing = Files.list(settings.dataFolder())) {
+            listing.forEach(files::add);
         }
-        for (Path path : records) {
+        for (Path path : files) {
             Files.delete(path);
         }
     }
 
-    /** Closes the connections; a node that starts at the same address needs the port. */
+    /** Closes the connections: a node that starts at the same address needs the port. */
     @Override
     public void close() {
         transport.ifPresent(WireTransport::close);
--- a/library/src/main/java/org/copperspindle/gateway/NodeState.java
+++ b/library/src/main/java/org/copperspindle/gateway/NodeState.java
@@ -15,56 +15,56 @@
 import org.copperspindle.version.VersionHolder;
 
 /**
- * What a node shows of itself.
+ * Components of a node whose state is published as metrics.
  *
- * @param readiness  says whether new callers are taken
- * @param mesh       the other nodes
- * @param client     the connections to upstreams
- * @param exchange   what this node's member of the control group knows
- * @param holder     the version held
- * @param directory  the known upstreams
- * @param limits     the limits that upstreams have named
- * @param permits    the permits to send to these
- * @param rests      the upstreams that want nothing for a while
- * @param batches    the stage work
- * @param gate       the gate before the stages
- * @param budget     the bound on repeats
- * @param counters   the counts of requests
- * @param quarantine holds requests off that end their upstreams
- * @param ignored    the counts of announcements that name no upstream
+ * @param readiness            whether new requests are accepted
+ * @param mesh                 the other nodes
+ * @param client               the connections to upstreams
+ * @param versionExchange      status of the control group as known to this node
+ * @param versionHolder        the configuration version held
+ * @param directory            the known upstreams
+ * @param limits               limits announced by upstreams
+ * @param permits              permits for upstreams with a limit
+ * @param backoffs             upstreams that have requested a backoff
+ * @param batches              the work on stages
+ * @param stageAdmission       admission to the stages
+ * @param retryBudget          the limit on retries
+ * @param counters             the counts of requests
+ * @param quarantine           quarantines requests that terminate their upstreams
+ * @param ignoredAnnouncements counts announcements that do not identify an upstream
  */
 record NodeState(
         BooleanSupplier readiness,
         NodeMesh mesh,
         DirectClient client,
-        VersionExchange exchange,
-        VersionHolder holder,
+        VersionExchange versionExchange,
+        VersionHolder versionHolder,
         UpstreamDirectory directory,
         UpstreamLimits limits,
         SendPermits permits,
-        UpstreamBackoffs rests,
+        UpstreamBackoffs backoffs,
         BatchService batches,
-        StageAdmission gate,
-        SharedRetryBudget budget,
+        StageAdmission stageAdmission,
+        SharedRetryBudget retryBudget,
         GatewayCounters counters,
         RequestQuarantine quarantine,
-        IgnoredAnnouncements ignored) {
+        IgnoredAnnouncements ignoredAnnouncements) {
 
     boolean isReady() {
         return readiness.getAsBoolean();
     }
 
     /** Returns how many other nodes are connected. */
-    int nodes() {
+    int connectedNodes() {
         return mesh.count();
     }
 
-    /** Returns how many connections to upstreams were opened. */
+    /** Returns how many connections to upstreams have been opened. */
     long connects() {
         return client.connects();
     }
 
     MemberStatus status() {
-        return exchange.status();
+        return versionExchange.status();
     }
 }
