--- a/library/src/main/java/org/copperspindle/control/AnnounceCommand.java
+++ b/library/src/main/java/org/copperspindle/control/AnnounceCommand.java
@@ -6,7 +6,7 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * Records what an agent announced.
+ * Records an announcement of an agent.
  *
  * @param announcement encoded announcement
  */
--- a/library/src/main/java/org/copperspindle/control/ApplyConfigCommand.java
+++ b/library/src/main/java/org/copperspindle/control/ApplyConfigCommand.java
@@ -8,11 +8,11 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * Puts a whole configuration in place of the one it was made from. Its text is compressed in the log.
+ * Replaces the whole configuration by one that was made from a given version. The text is compressed in the log.
  *
- * @param changeId identity of the change; repeating it repeats the first answer
+ * @param changeId identity of the change; repeating it repeats the first result
  * @param baseVersion version that it was made from
- * @param operator who asked
+ * @param operator operator who requested it
  * @param text the whole INI text
  */
 public record ApplyConfigCommand(String changeId, long baseVersion, String operator, String text)
--- a/library/src/main/java/org/copperspindle/control/ApplyOutcome.java
+++ b/library/src/main/java/org/copperspindle/control/ApplyOutcome.java
@@ -1,38 +1,38 @@
 package org.copperspindle.control;
 
 /**
- * What an operator is told about a change.
+ * Outcome of a configuration change, as reported to the operator.
  */
 public sealed interface ApplyOutcome {
 
     /**
-     * Committed, and in force at every member that serves.
+     * The change is committed, and in force at every member that serves.
      *
      * @param version the version that the change made
      */
     record Accepted(long version) implements ApplyOutcome {}
 
     /**
-     * Never made by this request, and not made before under this change id either.
+     * The change was not made by this request, nor earlier under the same change id.
      *
-     * @param version  version that stands in its way, 0 if none does
-     * @param operator who made that version, empty if nobody did
-     * @param reason   why
+     * @param version  conflicting version, 0 if there is none
+     * @param operator operator who made the conflicting version, empty if there is none
+     * @param reason   reason for the refusal
      */
     record Refused(long version, String operator, String reason) implements ApplyOutcome {}
 
     /**
-     * Not taken by this member, which does not lead; nothing of it will happen later.
+     * This member does not lead and did not accept the change; it will not be made later either.
      *
-     * @param leader operators' IP:PORT of the leader, empty if none is known
+     * @param leader IP:PORT of the leader for operators, empty if none is known
      */
     record NotTaken(String leader) implements ApplyOutcome {}
 
     /**
-     * Whether the change was made, or whether it is in force everywhere, is not known yet.
+     * It is not known yet whether the change was made, or whether it is in force everywhere.
      *
      * @param version the version that it made, 0 if that is not known either
-     * @param reason  what it waits for
+     * @param reason  what the change is waiting for
      */
     record Unknown(long version, String reason) implements ApplyOutcome {}
 }
--- a/library/src/main/java/org/copperspindle/control/AuditObserver.java
+++ b/library/src/main/java/org/copperspindle/control/AuditObserver.java
@@ -17,8 +17,8 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * Compares the state before and after a command and words what changed for the audit trail. A command that changed
- * nothing, such as a resent change or a late announcement, leaves no record.
+ * Compares the state before and after a command and creates an audit entry for what changed. A command without effect,
+ * such as a resent change or a late announcement, creates none.
  */
 final class AuditObserver {
 
@@ -30,7 +30,7 @@
             CloseOrderCommand.class,
             FenceCommand.class,
             AuditEntry.class);
-    private static final Observation NOTHING = atMillis -> Optional.empty();
+    private static final Observation NO_ENTRY = atMillis -> Optional.empty();
 
     private final ConfigHistory config;
     private final UpstreamTable upstreams;
@@ -42,7 +42,7 @@
         this.orders = orders;
     }
 
-    /** What the state was before a command; words the record once the command is applied. */
+    /** The state before a command; creates the audit entry once the command is applied. */
     @FunctionalInterface
     interface Observation {
         Optional<AuditEntry> after(long atMillis);
@@ -67,12 +67,13 @@
                     .map(o -> order(o, atMillis, "placed " + o.kind() + " " + o.subject()));
         }
         if (command instanceof CloseOrderCommand close) {
-            return ending(close.upstreamId(), close.outcome() + (close.reason().isEmpty() ? "" : " " + close.reason()));
+            return closedOrder(
+                    close.upstreamId(), close.outcome() + (close.reason().isEmpty() ? "" : " " + close.reason()));
         }
         if (command instanceof FenceCommand fence) {
-            return ending(fence.upstreamId(), "void agent-restarted incarnation=" + fence.incarnation());
+            return closedOrder(fence.upstreamId(), "void agent-restarted incarnation=" + fence.incarnation());
         }
-        return NOTHING;
+        return NO_ENTRY;
     }
 
     private Observation change(ApplyConfigCommand apply) {
@@ -99,12 +100,13 @@
 
     private Observation removal(RemoveUpstreamCommand remove) {
         Optional<UpstreamAnnouncement> before = known(remove.upstreamId());
-        return atMillis -> before.filter(gone -> known(remove.upstreamId()).isEmpty())
-                .map(gone ->
-                        AuditEntryFactory.removed(gone.upstreamId(), gone.incarnation(), config.version(), atMillis));
+        return atMillis -> before.filter(
+                        removedUpstream -> known(remove.upstreamId()).isEmpty())
+                .map(removedUpstream -> AuditEntryFactory.removed(
+                        removedUpstream.upstreamId(), removedUpstream.incarnation(), config.version(), atMillis));
     }
 
-    private Observation ending(String upstreamId, String how) {
+    private Observation closedOrder(String upstreamId, String how) {
         Optional<OpenOrder> before = orders.find(upstreamId);
         return atMillis -> before.filter(o -> orders.find(upstreamId).isEmpty())
                 .map(o -> order(o, atMillis, "ended " + how + " " + o.kind() + " " + o.subject()));
--- a/library/src/main/java/org/copperspindle/control/ClaimCommand.java
+++ b/library/src/main/java/org/copperspindle/control/ClaimCommand.java
@@ -9,7 +9,7 @@
  * Claims an unrepeatable stage.
  *
  * @param claim encoded {@link org.copperspindle.claims.ClaimRequestMessage}
- * @param atMillis time of the log at which the leader proposed it, by {@link org.copperspindle.claims.LogClock}
+ * @param atMillis time at which the leader proposed it, by {@link org.copperspindle.claims.LogClock}
  */
 public record ClaimCommand(byte[] claim, long atMillis) implements WireMessage {
 
--- a/library/src/main/java/org/copperspindle/control/ClaimHandler.java
+++ b/library/src/main/java/org/copperspindle/control/ClaimHandler.java
@@ -12,8 +12,8 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * The leader's side of the claims: stamps them, proposes them, and answers once they are committed. Runs on the decision
- * ring.
+ * Handles claims at the leader: adds the time, proposes them to the log, and replies once they are committed. Runs on
+ * the decision ring.
  */
 final class ClaimHandler {
 
@@ -27,7 +27,7 @@
         this.clock = new LogClock(timers);
     }
 
-    /** Returns false if the message is not about claims. */
+    /** Handles a message; returns false if it is not about claims. */
     boolean receive(Peer peer, WireMessage message) {
         if (message instanceof ClaimRequestMessage claim) {
             claim(peer, claim);
@@ -50,7 +50,8 @@
             } else if (result instanceof ProposalResult.NotTaken) {
                 peer.send(new ClaimReplyMessage(claim.correlation(), ClaimDecision.of(ClaimResult.UNAVAILABLE)));
             }
-            // Unknown: no reply. The entry asks again with the same attempt, which is granted if the first one held.
+            // Unknown: no reply. The entry repeats the request with the same attempt, which is granted if the first
+            // proposal was committed.
         });
     }
 
--- a/library/src/main/java/org/copperspindle/control/ClaimPart.java
+++ b/library/src/main/java/org/copperspindle/control/ClaimPart.java
@@ -10,7 +10,7 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * Puts the {@link ClaimTable} under the log.
+ * Makes the {@link ClaimTable} a part of the replicated state.
  */
 final class ClaimPart implements StatePart {
 
--- a/library/src/main/java/org/copperspindle/control/ControlEndpoint.java
+++ b/library/src/main/java/org/copperspindle/control/ControlEndpoint.java
@@ -18,33 +18,34 @@
 import org.copperspindle.settings.SettingsException;
 
 /**
- * The operators' HTTP interface of a control member: {@code POST /v1/config?base=N&change=ID&operator=NAME} with the
- * whole INI text as body, and {@code GET /v1/status}. A member that does not lead points to the leader.
+ * The operators' HTTP endpoint of a control member: {@code POST /v1/config?base=N&change=ID&operator=NAME} with the
+ * whole INI text as body, and {@code GET /v1/status}. A member that does not lead redirects to the leader.
  */
 public final class ControlEndpoint implements HttpRequestHandler {
 
     private static final String JSON = "application/json";
     private static final String CONFIG_PATH = "/v1/config";
     private static final String NUMBER = "[0-9]{1,18}";
-    private static final int MAX_NAME = 200;
+    private static final int MAX_NAME_CHARS = 200;
     private static final Duration DEFAULT_WAIT = Duration.ofSeconds(30);
-    private static final Duration LONGEST_WAIT = Duration.ofMinutes(5);
+    private static final Duration MAX_WAIT = Duration.ofMinutes(5);
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     private final DecisionQueue queue;
-    private final Executor checks;
+    private final Executor validation;
     private final ControlService service;
 
     /**
-     * Creates the door.
+     * Creates the endpoint.
      *
-     * @param queue   decision ring that owns the service
-     * @param checks  runs the checks of whole files, off the network threads and the ring; may reject
-     * @param service carries the changes out
+     * @param queue      decision ring that owns the service
+     * @param validation executor that validates configuration files, outside the network threads and the ring; may
+     *                   reject tasks
+     * @param service    applies the changes
      */
-    public ControlEndpoint(DecisionQueue queue, Executor checks, ControlService service) {
+    public ControlEndpoint(DecisionQueue queue, Executor validation, ControlService service) {
         this.queue = queue;
-        this.checks = checks;
+        this.validation = validation;
         this.service = service;
     }
 
@@ -62,8 +63,8 @@
     }
 
     private void status(HttpExchange exchange) {
-        boolean taken = queue.offer(() -> answer(exchange, 200, MAPPER.<ObjectNode>valueToTree(service.status())));
-        if (!taken) {
+        boolean queued = queue.offer(() -> answer(exchange, 200, MAPPER.<ObjectNode>valueToTree(service.status())));
+        if (!queued) {
             answer(exchange, 503, node("overloaded"));
         }
     }
@@ -80,14 +81,14 @@
         String text = new String(exchange.body(), StandardCharsets.UTF_8);
         ApplyConfigCommand command = new ApplyConfigCommand(change.get(), base.get(), operator.get(), text);
         try {
-            // A large file takes long enough to check that probes and other operators would time out behind it.
-            checks.execute(() -> check(exchange, command));
+            // Validating a large file takes so long that probes and other operators' requests would time out behind it.
+            validation.execute(() -> validate(exchange, command));
         } catch (RejectedExecutionException e) {
             answer(exchange, 503, node("not-taken").put("reason", "overloaded"));
         }
     }
 
-    private void check(HttpExchange exchange, ApplyConfigCommand command) {
+    private void validate(HttpExchange exchange, ApplyConfigCommand command) {
         try {
             DeploymentLoader.parse(exchange.parameter("file").orElse("request"), command.text());
         } catch (SettingsException e) {
@@ -97,20 +98,20 @@
         long wait = exchange.parameter("wait-ms")
                 .filter(w -> w.matches(NUMBER))
                 .map(Long::parseLong)
-                .map(w -> Math.min(w, LONGEST_WAIT.toMillis()))
+                .map(w -> Math.min(w, MAX_WAIT.toMillis()))
                 .orElse(DEFAULT_WAIT.toMillis());
-        boolean taken = queue.offer(
-                () -> service.apply(command, Duration.ofMillis(wait).toNanos(), outcome -> report(exchange, outcome)));
-        if (!taken) {
+        boolean queued = queue.offer(() ->
+                service.apply(command, Duration.ofMillis(wait).toNanos(), outcome -> sendOutcome(exchange, outcome)));
+        if (!queued) {
             answer(exchange, 503, node("not-taken").put("reason", "overloaded"));
         }
     }
 
     private static Optional<String> name(HttpExchange exchange, String parameter) {
-        return exchange.parameter(parameter).filter(n -> !n.isBlank() && n.length() <= MAX_NAME);
+        return exchange.parameter(parameter).filter(n -> !n.isBlank() && n.length() <= MAX_NAME_CHARS);
     }
 
-    private static void report(HttpExchange exchange, ApplyOutcome outcome) {
+    private static void sendOutcome(HttpExchange exchange, ApplyOutcome outcome) {
         if (outcome instanceof ApplyOutcome.Accepted accepted) {
             answer(exchange, 200, node("accepted").put("version", accepted.version()));
         } else if (outcome instanceof ApplyOutcome.Refused refused) {
--- a/library/src/main/java/org/copperspindle/control/ControlResult.java
+++ b/library/src/main/java/org/copperspindle/control/ControlResult.java
@@ -3,11 +3,11 @@
 import org.copperspindle.claims.ClaimDecision;
 
 /**
- * What the replicated state answers to one command.
+ * Result of one command on the replicated state.
  */
 public sealed interface ControlResult {
 
-    /** The command changed the state, or had changed it before and did nothing now. */
+    /** The command changed the state, or had changed it before and had no effect now. */
     record Done() implements ControlResult {}
 
     /**
@@ -20,14 +20,14 @@
     /**
      * A configuration was refused.
      *
-     * @param currentVersion version that stands in its way
-     * @param operator       who made that version, empty if nobody did
-     * @param reason         why, for the operator
+     * @param currentVersion conflicting version
+     * @param operator       operator who made that version, empty if there is none
+     * @param reason         reason for the refusal, for the operator
      */
     record ConfigRefused(long currentVersion, String operator, String reason) implements ControlResult {}
 
     /**
-     * A configuration was not taken, and whether it was accepted long ago is no longer known.
+     * A configuration was not accepted; whether the same change was accepted long ago is no longer known.
      *
      * @param oldestVersion oldest version whose change is still known
      */
@@ -36,7 +36,7 @@
     /**
      * A claim was decided.
      *
-     * @param decision the decision and the attempt that holds the claim
+     * @param decision the decision, and the attempt that holds the claim
      */
     record Claimed(ClaimDecision decision) implements ControlResult {}
 }
--- a/library/src/main/java/org/copperspindle/control/ControlService.java
+++ b/library/src/main/java/org/copperspindle/control/ControlService.java
@@ -21,20 +21,22 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * The leader's side of leases, configuration and claims. All methods but those of {@link PeerListener} run on the
- * decision ring.
+ * Serves leases, configuration changes and claims at the leader. All methods except those of {@link PeerListener} run
+ * on the decision ring.
  *
- * <p>A version is in force everywhere once every member whose lease runs has reported it. That is enough because a
- * lease is only prolonged for a member that reports the newest version: one that is behind, however it came to be,
- * reports within a lease or stops serving within a lease.
+ * <p>A version is in force everywhere once every member whose lease is running has reported it. That suffices because a
+ * lease is renewed only for a member that reports the newest version: a member that is behind, for whatever reason,
+ * reports it within a lease or stops serving within a lease.
  */
 public final class ControlService implements PeerListener {
 
     private static final Logger LOGGER = LogManager.getLogger(ControlService.class);
     private static final int SWEEPS_PER_LEASE = 20;
-    private static final int MAX_NAMED = 5;
+    private static final int MAX_LISTED = 5;
 
-    /** Largest difference of two monotonic clocks' rates; members allow for as much on their side. */
+    /**
+     * Largest relative difference between the rates of two monotonic clocks; members allow for the same on their side.
+     */
     private static final double CLOCK_DRIFT = 0.01;
 
     private final DecisionQueue queue;
@@ -45,7 +47,7 @@
     private final ClaimHandler claims;
     private final MemberTable members = new MemberTable();
     private final RateShareTable rateShares = new RateShareTable();
-    private final PendingApplies pending;
+    private final PendingChanges pending;
     private final UpdatePusher pusher;
     private final FleetService fleet;
     private final InForceRecorder inForce = new InForceRecorder();
@@ -58,9 +60,9 @@
      * Creates the service.
      *
      * @param queue  decision ring that owns it
-     * @param timers time
-     * @param log    the log
-     * @param state  what the log drives
+     * @param timers timer service
+     * @param log    the replicated log
+     * @param state  state to which the log applies commands
      * @param lease  length of members' leases
      */
     public ControlService(
@@ -71,12 +73,12 @@
         this.state = state;
         this.leaseNanos = lease.toNanos();
         this.claims = new ClaimHandler(timers, log, state);
-        this.pending = new PendingApplies(timers);
+        this.pending = new PendingChanges(timers);
         this.fleet = new FleetService(timers, log, state, members::agentOf);
         this.pusher = new UpdatePusher(timers, state, members.all(), () -> leads() ? leadingTerm : 0);
     }
 
-    /** Starts to watch leases. */
+    /** Starts the periodic check of leases. */
     public void start() {
         timers.schedule(leaseNanos / SWEEPS_PER_LEASE, this::sweep);
         fleet.start();
@@ -95,17 +97,17 @@
 
     @Override
     public boolean onClose(Peer peer) {
-        // A lost connection is not a lost lease: the member may come back before it ends.
+        // A lost connection doesn't end the lease: the member may reconnect before it expires.
         LOGGER.debug("event=member-disconnected member={}", peer.greeting().processId());
         return true;
     }
 
     /**
-     * Applies a configuration and answers once it is in force at every serving member.
+     * Applies a configuration and reports the outcome once it is in force at every serving member.
      *
-     * @param command   the change, checked as a whole before
+     * @param command   the change, already validated
      * @param waitNanos longest wait for it to be in force, in nanoseconds
-     * @param callback  told once how it ended
+     * @param callback  called once with the outcome
      */
     public void apply(ApplyConfigCommand command, long waitNanos, Consumer<ApplyOutcome> callback) {
         if (!leads()) {
@@ -114,7 +116,7 @@
         }
         Optional<ControlResult> before = state.config().decided(command);
         if (before.isPresent()) {
-            answer(before.get(), waitNanos, callback);
+            completeOrWait(before.get(), waitNanos, callback);
             return;
         }
         log.propose(state.encode(command), result -> {
@@ -125,7 +127,7 @@
                         command.operator(),
                         command.baseVersion(),
                         committed.result());
-                answer(committed.result(), waitNanos, callback);
+                completeOrWait(committed.result(), waitNanos, callback);
             } else if (result instanceof ProposalResult.NotTaken notTaken) {
                 callback.accept(new ApplyOutcome.NotTaken(notTaken.leaderAddress()));
             } else {
@@ -135,19 +137,19 @@
     }
 
     /**
-     * Describes what this member knows.
+     * Returns what this member knows, for operators.
      *
      * @return the status
      */
     public ControlStatus status() {
         return new ControlStatusReport(log, state, members, timers.nanoTime())
-                .create(leads(), pending.versions(), this::waitingFor);
+                .create(leads(), pending.versions(), this::describeWait);
     }
 
-    private void answer(ControlResult result, long waitNanos, Consumer<ApplyOutcome> callback) {
+    private void completeOrWait(ControlResult result, long waitNanos, Consumer<ApplyOutcome> callback) {
         if (result instanceof ControlResult.ConfigAccepted accepted) {
-            pending.add(accepted.version(), waitNanos, this::waitingFor, callback);
-            pusher.wake();
+            pending.add(accepted.version(), waitNanos, this::describeWait, callback);
+            pusher.scheduleFlush();
             completeInForce();
         } else if (result instanceof ControlResult.ConfigRefused refused) {
             callback.accept(new ApplyOutcome.Refused(refused.currentVersion(), refused.operator(), refused.reason()));
@@ -162,8 +164,8 @@
     }
 
     /**
-     * Says whether this member leads, and notices when that begins or ends. What was known of members under another
-     * term says nothing about leases that another leader granted since.
+     * Returns whether this member leads, and resets the leader's state when the term changes: what was known of the
+     * members in another term says nothing about leases that another leader has granted since.
      */
     private boolean leads() {
         long term = log.leads() ? log.term() : 0;
@@ -174,7 +176,7 @@
             rateShares.clear();
             removing.clear();
             pending.abandon();
-            inForce.begin();
+            inForce.reset();
             LOGGER.info("event=leading term={} version={}", term, state.config().version());
         }
         return term != 0;
@@ -199,20 +201,20 @@
         if (lease.leaving()) {
             members.leave(peer).ifPresent(member -> {
                 rateShares.leave(member.key());
-                left(member, true);
+                memberGone(member, true);
             });
             return;
         }
-        Member member = members.of(peer, lease);
+        Member member = members.findOrAdd(peer, lease);
         long now = timers.nanoTime();
-        boolean progress = member.seen(now + leaseNanos, lease.configVersion());
+        boolean progress = member.recordReport(now + leaseNanos, lease.configVersion());
         long newer = newerIncarnation(member, lease.announcement());
-        // Safeguard: a member that holds on to an old version would serve it for ever if each renewal prolonged its
-        // lease, and no change would ever be in force everywhere. Not prolonged, it stops within a lease.
+        // If renewals extended the lease of a member that keeps an old version, it would serve that version forever,
+        // and no change would ever be in force everywhere. Without them it stops within a lease.
         boolean current = lease.configVersion() >= state.config().version();
         boolean granted = current && newer == 0;
         if (granted) {
-            member.leased(now + leaseNanos);
+            member.extendLease(now + leaseNanos);
             announce(member, lease.announcement());
         }
         peer.send(new LeaseGrantMessage(
@@ -222,19 +224,19 @@
                 lease.number(),
                 newer,
                 granted && !member.isAgent() ? rateShare(member, lease, now) : LeaseGrantMessage.KEEP_SHARE));
-        pusher.wakeFor(member);
+        pusher.scheduleFlushFor(member);
         if (progress) {
             completeInForce();
         }
     }
 
     private long rateShare(Member member, LeaseRequestMessage lease, long now) {
-        return rateShares.grant(member.key(), lease, now + leaseNanos, now, earlierLeasesOver());
+        return rateShares.grant(member.key(), lease, now + leaseNanos, now, earlierLeasesExpired());
     }
 
     /** Returns the newest incarnation known of the member's upstream if that is newer than its own, else 0. */
     private long newerIncarnation(Member member, byte[] announcement) {
-        if (!member.announces(announcement)) {
+        if (!member.updateAnnouncement(announcement)) {
             return 0;
         }
         long newest = state.upstreams().newestIncarnation(member.announcement().upstreamId());
@@ -243,22 +245,22 @@
 
     private void announce(Member member, byte[] announcement) {
         boolean upstream = announcement.length > 0 && member.announcement() != null;
-        if (!upstream || member.announcing() || !state.upstreams().isNews(member.announcement())) {
+        if (!upstream || member.announcing() || !state.upstreams().isNewer(member.announcement())) {
             return;
         }
-        // Renewals repeat the announcement; only one of them goes through the log.
+        // Every renewal repeats the announcement; only one of them goes through the log.
         member.announcing(true);
         log.propose(state.encode(new AnnounceCommand(announcement)), result -> {
             member.announcing(false);
-            pusher.wake();
+            pusher.scheduleFlush();
         });
     }
 
-    private void left(Member member, boolean byItself) {
-        LOGGER.info("event=member-gone member={} left={}", member.id(), byItself);
+    private void memberGone(Member member, boolean deliberately) {
+        LOGGER.info("event=member-gone member={} left={}", member.id(), deliberately);
         if (member.announcement() != null) {
             UpstreamAnnouncement last = member.announcement();
-            remove(new RemoveUpstreamCommand(last.upstreamId(), last.incarnation(), byItself));
+            remove(new RemoveUpstreamCommand(last.upstreamId(), last.incarnation(), deliberately));
         }
         completeInForce();
     }
@@ -267,7 +269,7 @@
         if (removing.add(command.upstreamId())) {
             log.propose(state.encode(command), result -> {
                 removing.remove(command.upstreamId());
-                pusher.wake();
+                pusher.scheduleFlush();
             });
         }
     }
@@ -277,9 +279,9 @@
         if (!leads()) {
             return;
         }
-        members.removeGone(timers.nanoTime()).forEach(member -> left(member, false));
+        members.removeGone(timers.nanoTime()).forEach(member -> memberGone(member, false));
         recordVoters();
-        if (earlierLeasesOver()) {
+        if (earlierLeasesExpired()) {
             removeUnleased();
         }
         completeInForce();
@@ -298,7 +300,7 @@
                 .ifPresent(entry -> log.propose(state.encode(entry), result -> {}));
     }
 
-    /** Removes upstreams whose agent this leader has never heard of, or whose announcement was late. */
+    /** Removes upstreams whose agent has never contacted this leader, or whose announcement was late. */
     private void removeUnleased() {
         Set<String> leased = members.leasedUpstreams(timers.nanoTime());
         List<UpstreamAnnouncement> gone = state.upstreams().all().values().stream()
@@ -308,12 +310,12 @@
     }
 
     /**
-     * Says whether all leases that earlier leaders granted have run out. Safeguard: a new leader knows none of them. An
-     * entry that was cut off with the old leader would go on under the old version while the operator is told that the
-     * new one is in force everywhere. The wait is enough because a leader grants only while no other can be elected, so
-     * that no earlier lease is younger than this term.
+     * Returns whether all leases that earlier leaders granted have expired. A new leader knows none of them: without
+     * this wait, an entry that was partitioned together with the old leader would still serve the old version while the
+     * operator is told that the new one is in force everywhere. The wait suffices because a leader grants leases only
+     * while no other can be elected, so that no earlier lease is younger than this term.
      */
-    private boolean earlierLeasesOver() {
+    private boolean earlierLeasesExpired() {
         return timers.nanoTime() - leadingSince >= (long) (leaseNanos * (1 + CLOCK_DRIFT));
     }
 
@@ -326,22 +328,22 @@
     }
 
     private boolean inForce(long version, long now) {
-        // Nobody can serve below the first version: an entry without a configuration refuses every request.
+        // No member can serve below the first version: an entry without a configuration refuses every request.
         return version <= 1
-                || earlierLeasesOver() && members.servingBelow(version, now).isEmpty();
+                || earlierLeasesExpired() && members.servingBelow(version, now).isEmpty();
     }
 
-    private String waitingFor(long version) {
+    private String describeWait(long version) {
         long now = timers.nanoTime();
         List<Member> below = members.servingBelow(version, now);
         if (below.isEmpty()) {
             return "committed; leases of the earlier leader have not run out yet";
         }
-        String named = below.stream()
-                .limit(MAX_NAMED)
+        String listed = below.stream()
+                .limit(MAX_LISTED)
                 .map(m -> m.id() + " (version " + m.configVersion() + ", lease ends in "
                         + Duration.ofNanos(m.leaseLeft(now)).toMillis() + " ms)")
                 .collect(Collectors.joining(", "));
-        return "committed; not in force at " + below.size() + " members: " + named;
+        return "committed; not in force at " + below.size() + " members: " + listed;
     }
 }
--- a/library/src/main/java/org/copperspindle/control/ControlSnapshot.java
+++ b/library/src/main/java/org/copperspindle/control/ControlSnapshot.java
@@ -15,7 +15,7 @@
  */
 record ControlSnapshot(long format, List<byte[]> parts) implements WireMessage {
 
-    /** Format that this build writes, and the newest that it reads. */
+    /** Format that this build writes, and the newest that it can read. */
     static final long FORMAT = 1;
 
     /** Codec of this message. */
@@ -31,10 +31,10 @@
     }
 
     /**
-     * One slice's share of a snapshot.
+     * Snapshot of one {@link StatePart}.
      *
-     * @param name  name of the {@link StatePart}
-     * @param bytes what it made
+     * @param name  name of the part
+     * @param bytes encoded snapshot of the part
      */
     record SnapshotPart(String name, byte[] bytes) implements WireMessage {
 
--- a/library/src/main/java/org/copperspindle/control/ControlState.java
+++ b/library/src/main/java/org/copperspindle/control/ControlState.java
@@ -23,8 +23,8 @@
 import org.copperspindle.wire.WireTransport;
 
 /**
- * Everything that must survive, as the log's commands made it. Each slice owns its {@link StatePart}; this class hands
- * commands to them and puts their snapshots together.
+ * The replicated state of control, as the commands of the log produced it. Each feature package owns a
+ * {@link StatePart}; this class dispatches commands to the parts and combines their snapshots.
  */
 public final class ControlState implements ReplicatedState {
 
@@ -41,7 +41,7 @@
     private final Clock clock;
     private final List<StatePart> parts;
 
-    /** Creates an empty state whose audit trail is kept nowhere. */
+    /** Creates an empty state whose audit trail is not stored. */
     public ControlState() {
         this(AuditSink.NONE, Clock.systemUTC());
     }
@@ -49,14 +49,14 @@
     /**
      * Creates an empty state.
      *
-     * @param sink  keeps the audit trail
-     * @param clock wall clock that commands are stamped with, for readers of the trail only
+     * @param sink  stores the audit trail
+     * @param clock wall clock for the timestamps of commands, which are for readers of the trail only
      */
     public ControlState(AuditSink sink, Clock clock) {
         this.audit = new AuditPart(sink);
         this.clock = clock;
         this.parts = List.of(config, upstreams, claims, audit, orders);
-        commands.register(StampedCommand.CODEC);
+        commands.register(TimestampedCommand.CODEC);
         for (StatePart part : parts) {
             for (MessageCodec<?> codec : part.commands()) {
                 commands.register(codec);
@@ -69,17 +69,17 @@
     public ControlResult apply(long index, long term, byte[] command) {
         try {
             Optional<WireMessage> decoded = commands.decode(command);
-            if (decoded.isPresent() && decoded.get() instanceof StampedCommand stamped) {
-                Optional<WireMessage> inner = commands.decode(stamped.command());
+            if (decoded.isPresent() && decoded.get() instanceof TimestampedCommand timestamped) {
+                Optional<WireMessage> inner = commands.decode(timestamped.command());
                 return inner.isPresent()
-                        ? dispatch(index, term, stamped.atMillis(), inner.get())
+                        ? dispatch(index, term, timestamped.atMillis(), inner.get())
                         : new ControlResult.Done();
             }
             if (decoded.isPresent()) {
                 return dispatch(index, term, 0, decoded.get());
             }
         } catch (MalformedFrameException e) {
-            // The record passed its checksum, so this is a fault of a proposer; all members skip it alike.
+            // The record passed its checksum, so its proposer encoded it wrongly; all members skip it in the same way.
             LOGGER.error("event=command-malformed index={} term={}", index, term, e);
         }
         return new ControlResult.Done();
@@ -98,17 +98,17 @@
     @Override
     public void restore(byte[] snapshot) {
         try {
-            Map<String, byte[]> found = read(snapshot);
+            Map<String, byte[]> partsByName = read(snapshot);
             for (StatePart part : parts) {
                 part.clear();
-                byte[] bytes = found.remove(part.name());
+                byte[] bytes = partsByName.remove(part.name());
                 if (bytes != null) {
                     part.restore(bytes);
                 }
             }
-            // A part unknown here comes from a newer build: to drop it would lose accepted state without a word.
-            if (!found.isEmpty()) {
-                throw new IllegalStateException("snapshot holds unknown parts: " + found.keySet());
+            // An unknown part comes from a newer build: dropping it would silently lose accepted state.
+            if (!partsByName.isEmpty()) {
+                throw new IllegalStateException("snapshot holds unknown parts: " + partsByName.keySet());
             }
         } catch (MalformedFrameException e) {
             throw new IllegalStateException("snapshot can't be read", e);
@@ -123,7 +123,7 @@
      */
     public byte[] encode(WireMessage command) {
         byte[] encoded = commands.encode(command);
-        return observer.observes(command) ? commands.encode(new StampedCommand(clock.millis(), encoded)) : encoded;
+        return observer.observes(command) ? commands.encode(new TimestampedCommand(clock.millis(), encoded)) : encoded;
     }
 
     /**
@@ -154,7 +154,7 @@
     }
 
     /**
-     * Returns the orders that may be under way.
+     * Returns the orders that may be in progress.
      *
      * @return the live state; read only outside {@link #apply}
      */
@@ -189,11 +189,11 @@
         if (decoded.format() < 1 || decoded.format() > ControlSnapshot.FORMAT) {
             throw new IllegalStateException("snapshot format " + decoded.format() + " is not known");
         }
-        Map<String, byte[]> found = new HashMap<>();
+        Map<String, byte[]> partsByName = new HashMap<>();
         for (byte[] encoded : decoded.parts()) {
             ControlSnapshot.SnapshotPart part = ControlSnapshot.SnapshotPart.CODEC.decode(encoded);
-            found.put(part.name(), part.bytes());
+            partsByName.put(part.name(), part.bytes());
         }
-        return found;
+        return partsByName;
     }
 }
--- a/library/src/main/java/org/copperspindle/control/ControlStatusReport.java
+++ b/library/src/main/java/org/copperspindle/control/ControlStatusReport.java
@@ -12,7 +12,7 @@
 import org.copperspindle.membership.UpstreamAnnouncement;
 
 /**
- * Puts a {@link ControlStatus} together.
+ * Builds a {@link ControlStatus}.
  */
 final class ControlStatusReport {
 
--- a/library/src/main/java/org/copperspindle/control/InForceRecorder.java
+++ b/library/src/main/java/org/copperspindle/control/InForceRecorder.java
@@ -10,20 +10,21 @@
 import org.copperspindle.audit.AuditEntryFactory;
 
 /**
- * Words the audit record that a version is in force everywhere, once for each version and leader. One record names how
- * many members reported it, and some of them: a record for each member of a large fleet would outweigh all others.
+ * Creates the audit entry that a version is in force everywhere, once for each version and leader. The entry has the
+ * number of members that reported the version, and the names of some of them: an entry for each member of a large fleet
+ * would outweigh all others.
  */
 final class InForceRecorder {
 
-    private static final int MAX_NAMED = 20;
+    private static final int MAX_LISTED = 20;
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     private long version;
     private long since;
     private boolean recorded;
 
-    /** Forgets what another term has seen. */
-    void begin() {
+    /** Resets the state at the start of a term. */
+    void reset() {
         version = 0;
     }
 
@@ -45,7 +46,7 @@
         List<String> details = new ArrayList<>();
         details.add("entries=" + reported.stream().filter(m -> !m.isAgent()).count() + " agents="
                 + reported.stream().filter(Member::isAgent).count() + " after-ms=" + (now - since) / NANOS_PER_MILLI);
-        reported.stream().map(Member::id).sorted().limit(MAX_NAMED).forEach(id -> details.add("at " + id));
+        reported.stream().map(Member::id).sorted().limit(MAX_LISTED).forEach(id -> details.add("at " + id));
         return Optional.of(AuditEntryFactory.inForce("leader", "version-" + version, version, 0, details));
     }
 }
--- a/library/src/main/java/org/copperspindle/control/InMemoryLog.java
+++ b/library/src/main/java/org/copperspindle/control/InMemoryLog.java
@@ -4,9 +4,9 @@
 import java.util.function.Consumer;
 
 /**
- * A log of one member without a disk: commits at once and forgets on exit. For tests of other slices.
+ * A log of one member, in memory only, that commits at once. For tests of other packages.
  */
-public final class LocalLog implements ReplicatedLog {
+public final class InMemoryLog implements ReplicatedLog {
 
     private static final long TERM = 1;
 
@@ -16,9 +16,9 @@
     /**
      * Creates the log.
      *
-     * @param state what it drives
+     * @param state state to which commands are applied
      */
-    public LocalLog(ReplicatedState state) {
+    public InMemoryLog(ReplicatedState state) {
         this.state = state;
     }
 
@@ -45,6 +45,6 @@
 
     @Override
     public void close() {
-        // nothing is open
+        // Nothing is open.
     }
 }
--- a/library/src/main/java/org/copperspindle/control/Member.java
+++ b/library/src/main/java/org/copperspindle/control/Member.java
@@ -9,7 +9,7 @@
 import org.copperspindle.wire.Peer;
 
 /**
- * One life of a member as the leader sees it; gone with the leader, rebuilt from renewals.
+ * One incarnation of a member as the leader knows it. It is not replicated; a new leader rebuilds it from renewals.
  */
 final class Member {
 
@@ -34,7 +34,7 @@
         this.agent = agent;
     }
 
-    /** Returns what names this life of the member. */
+    /** Returns the key of this incarnation of the member. */
     String key() {
         return key;
     }
@@ -51,23 +51,23 @@
         return peer;
     }
 
-    /** Takes a new connection; what was pushed over the old one may have been lost with it. */
+    /** Sets a new connection; what was pushed over the old one may have been lost with it. */
     void connected(Peer newPeer, long heldText, long seenRevision) {
         peer = newPeer;
         textVersion = heldText;
         membershipRevision = seenRevision;
     }
 
-    /** Takes a report and says whether it is of a newer version than the one before. */
-    boolean seen(long until, long version) {
+    /** Records a reported version and returns whether it is newer than the one before. */
+    boolean recordReport(long until, long version) {
         seenUntil = until;
-        // One life never goes back, so a lower version comes from an older message.
+        // One incarnation never goes back to an older version, so a lower version comes from an older message.
         boolean newer = version > configVersion;
         configVersion = Math.max(configVersion, version);
         return newer;
     }
 
-    void leased(long until) {
+    void extendLease(long until) {
         leasedUntil = until;
     }
 
@@ -95,7 +95,7 @@
         return membershipRevision;
     }
 
-    void pushed(long version, long revision) {
+    void recordPush(long version, long revision) {
         textVersion = Math.max(textVersion, version);
         membershipRevision = Math.max(membershipRevision, revision);
     }
@@ -110,12 +110,12 @@
     }
 
     /**
-     * Takes what came with a renewal; most repeat the one before and are not read again.
+     * Updates the announcement from a renewal. Most renewals repeat the one before, which is not decoded again.
      *
      * @param encoded the announcement, empty if none came
      * @return whether the member has announced an upstream
      */
-    boolean announces(byte[] encoded) {
+    boolean updateAnnouncement(byte[] encoded) {
         if (encoded.length > 0 && !Arrays.equals(encoded, lastEncoded)) {
             lastEncoded = encoded;
             try {
@@ -127,12 +127,12 @@
         return announcement != null;
     }
 
-    /** Says whether an announcement is on its way through the log. */
+    /** Returns whether an announcement is proposed to the log and not decided yet. */
     boolean announcing() {
         return announcing;
     }
 
-    void announcing(boolean underWay) {
-        announcing = underWay;
+    void announcing(boolean proposed) {
+        announcing = proposed;
     }
 }
--- a/library/src/main/java/org/copperspindle/control/MemberTable.java
+++ b/library/src/main/java/org/copperspindle/control/MemberTable.java
@@ -14,8 +14,8 @@
 import org.copperspindle.wire.Peer;
 
 /**
- * The members that the leader has heard of in this term. Two lives of one process are two members: an old one that was
- * only paused may still serve until its own lease has run out, whatever the new one reports.
+ * The members that have contacted the leader in this term. Two incarnations of one process are two members: an old one
+ * that was only paused may still serve until its own lease has expired, whatever the new one reports.
  */
 final class MemberTable {
 
@@ -23,13 +23,13 @@
     private final Map<Peer, Member> byPeer = new IdentityHashMap<>();
 
     /**
-     * Finds the member that sent a request, or enters it.
+     * Returns the member that sent a request, and adds it if it is new.
      *
      * @param peer    its connection
      * @param request the request
      * @return the member
      */
-    Member of(Peer peer, LeaseRequestMessage request) {
+    Member findOrAdd(Peer peer, LeaseRequestMessage request) {
         Member known = byPeer.get(peer);
         if (known != null) {
             return known;
@@ -48,7 +48,7 @@
      * Finds the connection to the agent of an upstream.
      *
      * @param upstreamId the upstream
-     * @return the connection of the newest life that was heard of
+     * @return the connection of the newest known incarnation
      */
     Optional<Peer> agentOf(String upstreamId) {
         return members.values().stream()
@@ -77,7 +77,7 @@
      *
      * @param version the version that should be in force
      * @param now     time in nanoseconds
-     * @return members whose lease runs and that have not reported the version
+     * @return members whose lease is running and that have not reported the version
      */
     List<Member> servingBelow(long version, long now) {
         return members.values().stream()
--- a/library/src/main/java/org/copperspindle/control/NotLeaderMessage.java
+++ b/library/src/main/java/org/copperspindle/control/NotLeaderMessage.java
@@ -6,9 +6,9 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * Sent by a control member that can't serve: it does not lead.
+ * Sent by a control member that can't serve a request because it does not lead.
  *
- * @param leaderAddress IP:PORT of the leader as far as known, else empty
+ * @param leaderAddress IP:PORT of the leader, empty if unknown
  */
 public record NotLeaderMessage(String leaderAddress) implements WireMessage {
 
--- a/library/src/main/java/org/copperspindle/control/PendingChanges.java
+++ b/library/src/main/java/org/copperspindle/control/PendingChanges.java
@@ -11,24 +11,24 @@
 import org.copperspindle.time.TimerSubscription;
 
 /**
- * Changes that are committed and wait to be in force everywhere, each with whom to tell.
+ * Committed changes that are not yet in force everywhere, each with the callback to notify.
  */
-final class PendingApplies {
+final class PendingChanges {
 
     private final TimerService timers;
     private final List<Pending> waiting = new ArrayList<>();
 
-    PendingApplies(TimerService timers) {
+    PendingChanges(TimerService timers) {
         this.timers = timers;
     }
 
     /**
-     * Adds a waiter.
+     * Adds a change.
      *
      * @param version   version to wait for
      * @param waitNanos longest wait
-     * @param reason    says what the version waits for
-     * @param callback  told once
+     * @param reason    describes what the version is waiting for
+     * @param callback  called once with the outcome
      */
     void add(long version, long waitNanos, LongFunction<String> reason, Consumer<ApplyOutcome> callback) {
         Pending pending = new Pending(version, callback);
@@ -40,9 +40,9 @@
     }
 
     /**
-     * Answers those whose version is in force.
+     * Completes the changes whose version is in force.
      *
-     * @param inForce says whether a version is
+     * @param inForce returns whether a version is in force
      */
     void complete(LongPredicate inForce) {
         finish(
@@ -50,7 +50,7 @@
                 p -> new ApplyOutcome.Accepted(p.version));
     }
 
-    /** Answers all: this member does not lead any more and can't tell. */
+    /** Completes all changes with an unknown outcome, since this member does not lead any more. */
     void abandon() {
         finish(
                 List.copyOf(waiting),
@@ -74,7 +74,7 @@
         }
     }
 
-    /** One waiter. */
+    /** One committed change. */
     private static final class Pending {
         private final long version;
         private final Consumer<ApplyOutcome> callback;
--- a/library/src/main/java/org/copperspindle/control/ProposalResult.java
+++ b/library/src/main/java/org/copperspindle/control/ProposalResult.java
@@ -1,7 +1,7 @@
 package org.copperspindle.control;
 
 /**
- * How a proposal to the {@link ReplicatedLog} ended.
+ * Result of a proposal to the {@link ReplicatedLog}.
  */
 public sealed interface ProposalResult {
 
@@ -9,17 +9,17 @@
      * The command is committed and applied.
      *
      * @param index  index of its record
-     * @param result what the state answered
+     * @param result result of applying the command
      */
     record Committed(long index, ControlResult result) implements ProposalResult {}
 
     /**
-     * The command was not taken and never will be.
+     * The command was not accepted and will never be committed.
      *
      * @param leaderAddress address of the leader, empty if none is known
      */
     record NotTaken(String leaderAddress) implements ProposalResult {}
 
-    /** The leader lost its place while the command was under way: it may or may not be committed. */
+    /** The leader lost its leadership while the command was being replicated: it may or may not be committed. */
     record Unknown() implements ProposalResult {}
 }
--- a/library/src/main/java/org/copperspindle/control/RateShareTable.java
+++ b/library/src/main/java/org/copperspindle/control/RateShareTable.java
@@ -9,52 +9,54 @@
 import org.copperspindle.membership.LeaseRequestMessage;
 
 /**
- * Parts every account's rate equally among the entries that hold a lease, in one number for each. Pure: time comes in as
- * an argument. Keeps for each entry the largest share that it may be using: what it reported or was sent, until it
- * reports a later grant as taken or its lease has run out.
+ * Divides every account's rate equally among the entries that hold a lease, with one share per entry for all accounts.
+ * It reads no clock; time is passed as an argument. For each entry it keeps the largest share that the entry may be
+ * using: what it reported or was sent, until it confirms a later grant or its lease has expired.
  *
- * <p>Safeguard: were a joining entry given its part at once, the others would go on with their larger parts until their
- * next renewal; the symptom is an account above its rate at each join. It gets only what all the others leave free by
- * that largest share, which is enough because the sum of those never rises above the whole.
+ * <p>If a joining entry were given its share at once, the others would continue with their larger shares until their
+ * next renewal, and accounts would exceed their rate at each join. It gets only what the largest shares of all others
+ * leave free, which suffices because the sum of the largest shares never exceeds the whole.
  */
 final class RateShareTable {
 
     private final Map<Object, Holder> holders = new HashMap<>();
 
     /**
-     * Decides on the share that goes with one grant.
+     * Computes the share for one grant.
      *
-     * @param member      one life of an entry
-     * @param request     its renewal
-     * @param until       when the lease that is granted ends by the leader's clock, in nanoseconds
-     * @param now         time in nanoseconds
-     * @param earlierOver whether all leases that earlier leaders granted have run out
+     * @param member         one incarnation of an entry
+     * @param request        its renewal
+     * @param until          when the lease that is granted ends by the leader's clock, in nanoseconds
+     * @param now            time in nanoseconds
+     * @param earlierExpired whether all leases that earlier leaders granted have expired
      * @return parts of {@link LeaseGrantMessage#WHOLE_RATE}, or {@link LeaseGrantMessage#KEEP_SHARE}
      */
-    long grant(Object member, LeaseRequestMessage request, long until, long now, boolean earlierOver) {
+    long grant(Object member, LeaseRequestMessage request, long until, long now, boolean earlierExpired) {
         holders.values().removeIf(h -> h.until <= now);
         boolean known = holders.containsKey(member);
         Holder holder = holders.computeIfAbsent(member, m -> new Holder());
         boolean late = request.number() <= holder.highest;
         holder.until = Math.max(holder.until, until);
         if (late) {
-            // Its answer can't be taken any more; counted as sent it would hide a later, larger one.
+            // The entry can't apply the response any more; recorded as sent it would hide a later, larger share.
             return LeaseGrantMessage.KEEP_SHARE;
         }
         holder.highest = request.number();
-        if (!earlierOver || known && !holder.granted) {
-            // One first heard of later holds nothing: what it held from an earlier leader has run out by now.
-            holder.reported(request);
+        if (!earlierExpired || known && !holder.granted) {
+            // An entry first seen later holds nothing: what it held from an earlier leader has expired by now.
+            holder.setReported(request);
         }
-        holder.confirmed(request.shareNumber());
-        if (!earlierOver || largest() > LeaseGrantMessage.WHOLE_RATE) {
-            // What entries that were not heard of yet hold from an earlier leader is unknown, so nothing is free. Nor
-            // is it while a report that was long under way counts too much; that entry renews or its lease runs out.
+        holder.confirm(request.grantNumber());
+        if (!earlierExpired || largest() > LeaseGrantMessage.WHOLE_RATE) {
+            // The shares that entries not seen yet hold from an earlier leader are unknown, so nothing is free. Nothing
+            // is free either while a delayed report counts too large a share, until that entry renews or its lease
+            // expires.
             return LeaseGrantMessage.KEEP_SHARE;
         }
         long free = LeaseGrantMessage.WHOLE_RATE - (largest() - holder.largest());
         long equal = LeaseGrantMessage.WHOLE_RATE / holders.size();
-        // The rest of a division is free at once; an entry that began to serve on so little would refuse nearly all.
+        // The remainder of the division is free at once; an entry that started to serve with so small a share would
+        // refuse nearly everything.
         boolean tooLittle = holder.largest() == 0 && free < equal / 2;
         long share = tooLittle ? 0 : Math.min(equal, free);
         holder.send(request.number(), share);
@@ -62,15 +64,15 @@
     }
 
     /**
-     * Forgets an entry that has stopped taking requests on and gave its lease back.
+     * Removes an entry that has stopped accepting requests and returned its lease.
      *
-     * @param member one life of an entry
+     * @param member one incarnation of an entry
      */
     void leave(Object member) {
         holders.remove(member);
     }
 
-    /** Forgets everything: another term began. */
+    /** Removes all entries at the start of a term. */
     void clear() {
         holders.clear();
     }
@@ -79,20 +81,23 @@
         return holders.values().stream().mapToLong(Holder::largest).sum();
     }
 
-    /** One entry: shares that it may be using, falling, by the number of their grant. */
+    /** One entry, with the shares that it may be using, in descending order and in the order of their grants. */
     private static final class Holder {
         private final Deque<Sent> sent = new ArrayDeque<>();
         private long highest;
         private boolean granted;
         private long until = Long.MIN_VALUE;
 
-        private void reported(LeaseRequestMessage request) {
+        private void setReported(LeaseRequestMessage request) {
             sent.clear();
-            sent.add(new Sent(request.shareNumber(), request.rateShare()));
+            sent.add(new Sent(request.grantNumber(), request.rateShare()));
         }
 
-        /** Grants are taken in the order of their numbers, so that one before a taken one is never used again. */
-        private void confirmed(long number) {
+        /**
+         * Drops the shares of earlier grants: grants are applied in the order of their numbers, so that one before a
+         * confirmed one is never used again.
+         */
+        private void confirm(long number) {
             while (sent.size() > 1 && sent.peek().number() < number) {
                 sent.poll();
             }
--- a/library/src/main/java/org/copperspindle/control/RemoveUpstreamCommand.java
+++ b/library/src/main/java/org/copperspindle/control/RemoveUpstreamCommand.java
@@ -6,11 +6,12 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * Removes an upstream that left or whose lease ran out.
+ * Removes an upstream that left or whose lease expired.
  *
  * @param upstreamId the upstream
- * @param incarnation life that ended; a newer one stays
- * @param left whether the agent said that it leaves: then this life never comes back. After a lost lease it may.
+ * @param incarnation incarnation that ended; a newer one stays
+ * @param left whether the agent announced that it leaves: then this incarnation never comes back. After an expired
+ *             lease it may.
  */
 public record RemoveUpstreamCommand(String upstreamId, long incarnation, boolean left) implements WireMessage {
 
--- a/library/src/main/java/org/copperspindle/control/ReplicatedLog.java
+++ b/library/src/main/java/org/copperspindle/control/ReplicatedLog.java
@@ -4,12 +4,12 @@
 import java.util.function.Consumer;
 
 /**
- * The log that makes accepted state stay accepted. Called on the decision ring only.
+ * Replicated log of commands; a committed command survives the loss of members. Called on the decision ring only.
  */
 public interface ReplicatedLog extends AutoCloseable {
 
     /**
-     * Says whether this member leads and its lease, counted on its own monotonic clock, still runs.
+     * Returns whether this member leads and its leader lease, measured by its own monotonic clock, has not expired.
      *
      * @return true if it may answer from its own state
      */
@@ -23,14 +23,14 @@
     long term();
 
     /**
-     * Returns the operators' address of the leader.
+     * Returns the leader's address for operators.
      *
      * @return IP:PORT, if a leader is known
      */
     Optional<String> leaderAddress();
 
     /**
-     * Returns the address of the leader for the system's own protocol.
+     * Returns the leader's address for the internal protocol.
      *
      * @return IP:PORT, if a leader is known
      */
@@ -57,7 +57,7 @@
     }
 
     /**
-     * Says whether this member still takes part.
+     * Returns whether this member still participates.
      *
      * @return false after its disk has failed or it was closed
      */
@@ -69,7 +69,7 @@
      * Proposes a command.
      *
      * @param command  its bytes
-     * @param callback told once, on the decision ring, how it ended
+     * @param callback called once, on the decision ring, with the result
      */
     void propose(byte[] command, Consumer<ProposalResult> callback);
 
--- a/library/src/main/java/org/copperspindle/control/ReplicatedState.java
+++ b/library/src/main/java/org/copperspindle/control/ReplicatedState.java
@@ -1,8 +1,8 @@
 package org.copperspindle.control;
 
 /**
- * The state that the replicated log carries. Deterministic: the same commands in the same order give the same state and
- * the same results on every member.
+ * State to which the replicated log applies commands. It is deterministic: the same commands in the same order give the
+ * same state and the same results on every member.
  */
 public interface ReplicatedState {
 
@@ -12,21 +12,21 @@
      * @param index   index of its record in the log
      * @param term    term in which it was proposed
      * @param command its bytes
-     * @return what the proposer is told
+     * @return result for the proposer
      */
     ControlResult apply(long index, long term, byte[] command);
 
     /**
      * Takes a snapshot of the whole state.
      *
-     * @return bytes that {@link #restore} takes
+     * @return bytes that {@link #restore} accepts
      */
     byte[] snapshot();
 
     /**
      * Replaces the whole state.
      *
-     * @param snapshot what {@link #snapshot} made
+     * @param snapshot result of {@link #snapshot}
      */
     void restore(byte[] snapshot);
 }
--- a/library/src/main/java/org/copperspindle/control/StatePart.java
+++ b/library/src/main/java/org/copperspindle/control/StatePart.java
@@ -7,8 +7,9 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * One slice's share of the {@link ControlState}: it takes its own commands and keeps its own place in snapshots.
- * Deterministic: neither clocks nor random numbers nor the order of a hash table may show in results or snapshots.
+ * The part of the {@link ControlState} that one feature package owns, with its own commands and its own place in
+ * snapshots. It is deterministic: results and snapshots must not depend on clocks, random numbers or the order of a
+ * hash table.
  */
 public interface StatePart {
 
@@ -20,7 +21,7 @@
     String name();
 
     /**
-     * Returns the commands that this part takes.
+     * Returns the commands that this part applies.
      *
      * @return their codecs
      */
@@ -31,7 +32,7 @@
      *
      * @param index   index of its record in the log
      * @param command one of {@link #commands}
-     * @return what the proposer is told
+     * @return result for the proposer
      * @throws MalformedFrameException if a message inside the command can't be read
      */
     ControlResult apply(long index, WireMessage command) throws MalformedFrameException;
@@ -39,17 +40,17 @@
     /**
      * Takes a snapshot.
      *
-     * @return bytes that {@link #restore} takes; equal states give equal bytes
+     * @return bytes that {@link #restore} accepts; equal states give equal bytes
      */
     byte[] snapshot();
 
-    /** Empties this part, as before the first command. */
+    /** Clears this part, as before the first command. */
     void clear();
 
     /**
-     * Replaces this part.
+     * Replaces the state of this part.
      *
-     * @param snapshot what {@link #snapshot} made, here or in an older build
+     * @param snapshot result of {@link #snapshot}, of this build or an older one
      * @throws MalformedFrameException if it can't be read
      */
     void restore(byte[] snapshot) throws MalformedFrameException;
--- a/library/src/main/java/org/copperspindle/control/UpdatePusher.java
+++ b/library/src/main/java/org/copperspindle/control/UpdatePusher.java
@@ -11,14 +11,14 @@
 import org.copperspindle.time.TimerService;
 
 /**
- * Sends members what they lack. Changes of a short time go out together, and not more than a stated number of bytes at
- * once: when a failure domain comes back, dozens of entries need the whole membership, and control's other messages
- * must not wait behind it.
+ * Pushes configuration and membership updates to members that are behind. Changes within a few milliseconds are sent
+ * together, and the bytes sent at once are limited: when a failure domain comes back, dozens of entries need the full
+ * membership, and other messages of control must not wait behind it.
  */
 final class UpdatePusher {
 
     private static final long COALESCE_NANOS = Duration.ofMillis(3).toNanos();
-    private static final int BYTES_AT_ONCE = 1 << 20;
+    private static final int MAX_BYTES_PER_FLUSH = 1 << 20;
 
     private final ControlState state;
     private final Collection<Member> members;
@@ -28,8 +28,8 @@
     /**
      * Creates a pusher.
      *
-     * @param timers  time
-     * @param state   what members need
+     * @param timers  timer service
+     * @param state   state that is pushed
      * @param members live view of the members
      * @param term    current term, 0 while this member does not lead
      */
@@ -40,15 +40,15 @@
         this.flush = new DeferredTask(timers, this::flush);
     }
 
-    /** Pushes soon if a member lacks something. */
-    void wakeFor(Member member) {
-        if (lacks(member)) {
-            wake();
+    /** Schedules a push if a member is behind. */
+    void scheduleFlushFor(Member member) {
+        if (isBehind(member)) {
+            scheduleFlush();
         }
     }
 
-    /** Pushes soon. */
-    void wake() {
+    /** Schedules a push. */
+    void scheduleFlush() {
         flush.schedule(COALESCE_NANOS);
     }
 
@@ -56,25 +56,25 @@
         if (term.getAsLong() == 0) {
             return;
         }
-        int budget = BYTES_AT_ONCE;
+        int budget = MAX_BYTES_PER_FLUSH;
         for (Member member : members) {
-            if (!lacks(member)) {
+            if (!isBehind(member)) {
                 continue;
             }
             if (budget <= 0 || !member.peer().isWritable()) {
-                wake();
+                scheduleFlush();
                 continue;
             }
             budget -= push(member);
         }
     }
 
-    private boolean lacks(Member member) {
-        return member.textVersion() < state.config().version() || lacksMembership(member);
+    private boolean isBehind(Member member) {
+        return member.textVersion() < state.config().version() || isMembershipBehind(member);
     }
 
-    /** Agents look after their own upstream only. */
-    private boolean lacksMembership(Member member) {
+    /** Agents need no membership; they manage only their own upstream. */
+    private boolean isMembershipBehind(Member member) {
         return !member.isAgent()
                 && member.membershipRevision() < state.upstreams().revision();
     }
@@ -95,15 +95,15 @@
                         delta.removed(),
                         patch));
         if (sent) {
-            member.pushed(version, delta.revision());
+            member.recordPush(version, delta.revision());
         }
         return patch.length + delta.upstreams().stream().mapToInt(u -> u.length).sum();
     }
 
     private MembershipDelta delta(Member member) {
         long revision = state.upstreams().revision();
-        return lacksMembership(member)
-                ? state.upstreams().since(member.membershipRevision())
+        return isMembershipBehind(member)
+                ? state.upstreams().deltaSince(member.membershipRevision())
                 : new MembershipDelta(false, revision, List.of(), List.of());
     }
 }
--- a/library/src/main/java/org/copperspindle/control/VoterRecorder.java
+++ b/library/src/main/java/org/copperspindle/control/VoterRecorder.java
@@ -7,8 +7,8 @@
 import org.copperspindle.audit.AuditEntryFactory;
 
 /**
- * Words the audit record of each change of the control members, and one for each new leader, so that a change is told
- * even if the leader that made it did not live to record it. The record stands behind the change in the log: it is
+ * Creates an audit entry for each change of the control members, and one for each new leader, so that a change is
+ * recorded even if the leader that made it failed before it could. The entry follows the change in the log: it is
  * committed only if the change is.
  */
 final class VoterRecorder {
--- a/library/src/main/java/org/copperspindle/control/package-info.java
+++ b/library/src/main/java/org/copperspindle/control/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Replicated log of the control members: election, append, snapshots, repair, leases of members.
+ * Control at the leader: the replicated state, configuration changes, leases of members, claims, and updates to
+ * members.
  */
 package org.copperspindle.control;
--- a/library/src/main/java/org/copperspindle/membership/ControlCandidates.java
+++ b/library/src/main/java/org/copperspindle/membership/ControlCandidates.java
@@ -7,15 +7,15 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Which control member to try next, and when. Safeguard: after the leader or a failure domain is lost, thousands of
- * members look for the new leader at once; in step, they would fill its queue again and again and lose their leases in
- * waves. Each starts at a random member and waits a random time that grows with each failure, but stays well below a
- * lease.
+ * Selects the control member to try next, and the backoff before each attempt. After the leader or a failure domain is
+ * lost, thousands of members look for the new leader at once; without jitter they would fill its queue repeatedly and
+ * lose their leases in waves. Each member therefore starts at a random control member and waits a random time that
+ * grows with each failure, but stays well below a lease.
  */
 final class ControlCandidates {
 
-    private static final long FIRST_WAIT_NANOS = Duration.ofMillis(100).toNanos();
-    private static final long LONGEST_WAIT_NANOS = Duration.ofSeconds(1).toNanos();
+    private static final long INITIAL_BACKOFF_NANOS = Duration.ofMillis(100).toNanos();
+    private static final long MAX_BACKOFF_NANOS = Duration.ofSeconds(1).toNanos();
     private static final int MAX_DOUBLINGS = 4;
 
     private final List<InetSocketAddress> controls;
@@ -32,27 +32,30 @@
     }
 
     InetSocketAddress next() {
-        InetSocketAddress target = hint.orElseGet(this::nextInTurn);
+        InetSocketAddress target = hint.orElseGet(this::nextInRotation);
         hint = Optional.empty();
         last = Optional.of(target);
         return target;
     }
 
-    /** Passes over the member that was tried last: it has just failed, and a dead one costs a whole timeout. */
-    private InetSocketAddress nextInTurn() {
+    /** Skips the member that was tried last: it has just failed, and a dead one costs a full timeout. */
+    private InetSocketAddress nextInRotation() {
         InetSocketAddress target = controls.get(next++ % controls.size());
-        boolean again = last.isPresent() && last.get().equals(target) && controls.size() > 1;
-        return again ? controls.get(next++ % controls.size()) : target;
+        boolean repeated = last.isPresent() && last.get().equals(target) && controls.size() > 1;
+        return repeated ? controls.get(next++ % controls.size()) : target;
     }
 
-    long nextWaitNanos() {
-        long longest = Math.min(LONGEST_WAIT_NANOS, FIRST_WAIT_NANOS << Math.min(failures, MAX_DOUBLINGS));
+    long nextBackoffNanos() {
+        long backoff = Math.min(MAX_BACKOFF_NANOS, INITIAL_BACKOFF_NANOS << Math.min(failures, MAX_DOUBLINGS));
         failures++;
-        return random.nextLong(longest / 4, longest + 1);
+        return random.nextLong(backoff / 4, backoff + 1);
     }
 
-    /** Spreads renewals evenly, so that members started together don't renew together for ever. */
-    long spread(long intervalNanos) {
+    /**
+     * Subtracts a random part of up to a fifth, so that members started at the same time don't keep renewing at the
+     * same time.
+     */
+    long withJitter(long intervalNanos) {
         return intervalNanos - random.nextLong(intervalNanos / 5 + 1);
     }
 
@@ -61,11 +64,11 @@
     }
 
     /**
-     * Notes the leader that a control member named.
+     * Records the leader that a control member reported.
      *
-     * @param address IP:PORT, empty if it knows none
+     * @param address IP:PORT, empty if that member knows none
      */
-    void leaderIs(String address) {
+    void setLeader(String address) {
         int colon = address.lastIndexOf(':');
         if (colon < 0) {
             return;
@@ -73,7 +76,8 @@
         try {
             int port = Integer.parseInt(address.substring(colon + 1));
             hint = Optional.of(new InetSocketAddress(address.substring(0, colon), port));
-            // Control is reached again; a leader named in error costs a timeout, which spreads retries by itself.
+            // Control was reached, so the backoff starts over; a wrong leader address costs a timeout, which spreads
+            // the retries anyway.
             failures = 0;
         } catch (IllegalArgumentException e) {
             hint = Optional.empty();
--- a/library/src/main/java/org/copperspindle/membership/ControlConnector.java
+++ b/library/src/main/java/org/copperspindle/membership/ControlConnector.java
@@ -12,9 +12,9 @@
     /**
      * Connects.
      *
-     * @param target   where to
+     * @param target   address of the control member
      * @param listener receives the events
-     * @param failed   run on the decision thread if no connection came about
+     * @param failed   run on the decision thread if the connection fails
      */
     void connect(InetSocketAddress target, PeerListener listener, Runnable failed);
 }
--- a/library/src/main/java/org/copperspindle/membership/ControlLink.java
+++ b/library/src/main/java/org/copperspindle/membership/ControlLink.java
@@ -22,21 +22,22 @@
 import org.copperspindle.wire.WireTransport;
 
 /**
- * A member's link to the control leader: finds it, renews the lease, puts configuration texts together from patches,
- * and says when the lease has run out. Runs on the decision ring but for the methods of {@link PeerListener}.
+ * A member's connection to the control leader: finds the leader, renews the lease, builds configuration texts from
+ * patches, and reports when the lease has expired. Runs on the decision ring, except for the methods of
+ * {@link PeerListener}.
  */
 public final class ControlLink implements PeerListener {
 
     private static final Logger LOGGER = LogManager.getLogger(ControlLink.class);
 
-    /** A connection that stands but is never greeted is given up after this; it reports no end of its own. */
-    private static final long GREETING_NANOS = Duration.ofSeconds(3).toNanos();
+    /** Timeout for the greeting, since an established connection that is never greeted reports no failure. */
+    private static final long GREETING_TIMEOUT_NANOS = Duration.ofSeconds(3).toNanos();
 
-    /** A leader that leaves a request unanswered for so long is given up; a lease allows for it several times. */
-    private static final long SILENCE_NANOS = Duration.ofSeconds(1).toNanos();
+    /** Timeout for the response of a leader; a lease allows for several of them. */
+    private static final long RESPONSE_TIMEOUT_NANOS = Duration.ofSeconds(1).toNanos();
 
-    /** Shortest wait for the end of the lease, so that a timer that is rounded down does not spin. */
-    private static final long WATCH_NANOS = Duration.ofMillis(1).toNanos();
+    /** Shortest delay of the lease expiry timer, so that a delay that is rounded down doesn't cause a busy loop. */
+    private static final long MIN_EXPIRY_DELAY_NANOS = Duration.ofMillis(1).toNanos();
 
     private final DecisionQueue queue;
     private final TimerService timers;
@@ -58,12 +59,12 @@
      * Creates a link.
      *
      * @param ring      decision ring that owns it
-     * @param timers    time
+     * @param timers    timer service
      * @param transport network
      * @param controls  addresses of the control members
-     * @param renew     interval of renewals
-     * @param request   makes the current request
-     * @param listener  hears the outcome
+     * @param renew     interval between renewals
+     * @param request   creates the current request
+     * @param listener  notified of updates and of changes of the lease
      */
     public ControlLink(
             DecisionRing ring,
@@ -111,10 +112,10 @@
     /** Connects and starts to renew. */
     public void start() {
         connect();
-        timers.schedule(candidates.spread(renewNanos), this::tick);
+        timers.schedule(candidates.withJitter(renewNanos), this::tick);
     }
 
-    /** Sends a renewal at once, for example because a new version is in force. */
+    /** Sends a renewal immediately, for example because a new version is in force. */
     public void renewNow() {
         if (peer == null) {
             return;
@@ -122,13 +123,14 @@
         LeaseRequestMessage current = request.get();
         long now = timers.nanoTime();
         long number = lease.request(now, current.configVersion());
-        if (!peer.send(current.numbered(number, textVersion, lease.rateShare(now), lease.takenNumber()))) {
-            // Closed before it was opened here: its end was heard of first.
-            lost(peer);
+        if (!peer.send(current.numbered(number, textVersion, lease.rateShare(now), lease.lastGrantNumber()))) {
+            // The connection was closed before its opening was processed here; the close event came first and was
+            // ignored.
+            connectionLost(peer);
             return;
         }
-        Peer asked = peer;
-        timers.schedule(SILENCE_NANOS, () -> checkSilence(asked));
+        Peer requestPeer = peer;
+        timers.schedule(RESPONSE_TIMEOUT_NANOS, () -> checkResponse(requestPeer));
     }
 
     /**
@@ -142,16 +144,16 @@
     }
 
     /**
-     * Says whether the lease is held.
+     * Returns whether the lease is held.
      *
      * @return true if the member may serve
      */
     public boolean isLeaseHeld() {
-        return lease.held(timers.nanoTime());
+        return lease.isHeld(timers.nanoTime());
     }
 
     /**
-     * Returns the part of every account's rate that may be used now.
+     * Returns the share of every account's rate that may be used now.
      *
      * @return parts of {@link LeaseGrantMessage#WHOLE_RATE}, 0 without the lease
      */
@@ -159,7 +161,7 @@
         return lease.rateShare(timers.nanoTime());
     }
 
-    /** Stops renewing; the caller has sent its leaving request before. */
+    /** Stops renewing; the caller has already sent its leaving request. */
     public void stop() {
         stopped = true;
         expiry.cancel();
@@ -170,7 +172,7 @@
 
     @Override
     public boolean onOpen(Peer opened) {
-        return queue.offer(() -> opened(opened));
+        return queue.offer(() -> handleOpen(opened));
     }
 
     @Override
@@ -180,12 +182,12 @@
 
     @Override
     public boolean onClose(Peer closed) {
-        return queue.offer(() -> lost(closed));
+        return queue.offer(() -> connectionLost(closed));
     }
 
-    private void opened(Peer opened) {
+    private void handleOpen(Peer opened) {
         if (peer != null || stopped) {
-            // A slow attempt that was given up, and another took its place.
+            // A slow attempt that timed out and was replaced by another one.
             opened.close();
             return;
         }
@@ -194,26 +196,29 @@
         renewNow();
     }
 
-    private void lost(Peer closed) {
+    private void connectionLost(Peer closed) {
         if (peer == closed) {
             peer = null;
             connectLater();
         }
     }
 
-    /** Leaves a leader that was cut off without a word: no end of the connection comes, only the answer is missing. */
-    private void checkSilence(Peer asked) {
-        if (peer != asked || stopped || lease.waiting(timers.nanoTime()) < SILENCE_NANOS) {
+    /**
+     * Drops a leader that became unreachable without closing the connection: no close event arrives, only the response
+     * is missing.
+     */
+    private void checkResponse(Peer requestPeer) {
+        if (peer != requestPeer || stopped || lease.oldestWaitNanos(timers.nanoTime()) < RESPONSE_TIMEOUT_NANOS) {
             return;
         }
-        LOGGER.warn("event=control-silent member={}", asked.greeting().processId());
-        lost(asked);
-        asked.close();
+        LOGGER.warn("event=control-silent member={}", requestPeer.greeting().processId());
+        connectionLost(requestPeer);
+        requestPeer.close();
     }
 
     private void connectLater() {
         long current = ++attempt;
-        timers.schedule(candidates.nextWaitNanos(), () -> {
+        timers.schedule(candidates.nextBackoffNanos(), () -> {
             if (attempt == current) {
                 connect();
             }
@@ -225,13 +230,13 @@
             return;
         }
         long current = ++attempt;
-        Runnable giveUp = () -> {
+        Runnable retry = () -> {
             if (attempt == current && peer == null) {
                 connectLater();
             }
         };
-        connector.connect(candidates.next(), this, giveUp);
-        timers.schedule(GREETING_NANOS, giveUp);
+        connector.connect(candidates.next(), this, retry);
+        timers.schedule(GREETING_TIMEOUT_NANOS, retry);
     }
 
     private void receive(Peer from, WireMessage message) {
@@ -239,22 +244,22 @@
             return;
         }
         if (message instanceof LeaseGrantMessage grant) {
-            granted(grant);
+            handleGrant(grant);
         } else if (message instanceof ControlUpdateMessage update) {
             update(update);
         } else if (message instanceof NotLeaderMessage notLeader) {
-            candidates.leaderIs(notLeader.leaderAddress());
+            candidates.setLeader(notLeader.leaderAddress());
             from.close();
         } else {
             listener.onReply(message);
         }
     }
 
-    private void granted(LeaseGrantMessage grant) {
+    private void handleGrant(LeaseGrantMessage grant) {
         candidates.succeeded();
         listener.onTerm(grant.term());
         if (grant.newerIncarnation() > 0) {
-            superseded(grant.newerIncarnation());
+            handleNewerIncarnation(grant.newerIncarnation());
             return;
         }
         if (!lease.grant(grant, timers.nanoTime())) {
@@ -263,17 +268,18 @@
         listener.onRateShare(rateShare() / (double) LeaseGrantMessage.WHOLE_RATE);
         if (!serving) {
             serving = true;
-            watchExpiry();
+            scheduleExpiry();
             listener.onLease(true);
         }
     }
 
     /**
-     * Handles a newer life of the same upstream. A life that has never held a lease is the newest one, started while
-     * the clock that numbers lives was set back: it takes a larger number. One that has is an old process that woke up
-     * again: if it took a larger number, the two would push each other out for ever.
+     * Handles a newer incarnation of the same upstream. An incarnation that has never held a lease is the newest
+     * process, started while the clock that numbers incarnations was set back: it takes a larger number. One that has
+     * held a lease is an old process that resumed after a pause: if it took a larger number, the two processes would
+     * supersede each other forever.
      */
-    private void superseded(long known) {
+    private void handleNewerIncarnation(long known) {
         if (lease.everHeld()) {
             LOGGER.warn("event=superseded newest={}", known);
             return;
@@ -283,13 +289,14 @@
         renewNow();
     }
 
-    private void watchExpiry() {
-        expiry = timers.schedule(Math.max(WATCH_NANOS, lease.left(timers.nanoTime())), this::expire);
+    private void scheduleExpiry() {
+        expiry = timers.schedule(
+                Math.max(MIN_EXPIRY_DELAY_NANOS, lease.remainingNanos(timers.nanoTime())), this::expire);
     }
 
     private void expire() {
         if (isLeaseHeld()) {
-            watchExpiry();
+            scheduleExpiry();
             return;
         }
         serving = false;
@@ -298,28 +305,28 @@
     }
 
     private void update(ControlUpdateMessage update) {
-        if (!lease.supports(update.term())) {
+        if (!lease.acceptTerm(update.term())) {
             return;
         }
         if (update.configPatch().length == 0) {
             listener.onUpdate(update);
             return;
         }
-        Optional<byte[]> patched = patched(update.configPatch());
-        if (patched.isEmpty()) {
-            // What control took this member to hold is not what it holds: begin again with the whole text.
+        Optional<byte[]> patchedText = patchedText(update.configPatch());
+        if (patchedText.isEmpty()) {
+            // The patch doesn't apply to the text held here: reconnect and request the whole text.
             LOGGER.warn("event=patch-misfit version={} held={}", update.configVersion(), textVersion);
             textVersion = 0;
             text = new byte[0];
             peer.close();
             return;
         }
-        text = patched.get();
+        text = patchedText.get();
         textVersion = update.configVersion();
         listener.onUpdate(update.withText(ConfigPatch.string(text)));
     }
 
-    private Optional<byte[]> patched(byte[] encoded) {
+    private Optional<byte[]> patchedText(byte[] encoded) {
         try {
             ConfigPatch patch = ConfigPatch.CODEC.decode(encoded);
             boolean whole = patch.baseVersion() == 0;
@@ -336,6 +343,6 @@
             return;
         }
         renewNow();
-        timers.schedule(candidates.spread(renewNanos), this::tick);
+        timers.schedule(candidates.withJitter(renewNanos), this::tick);
     }
 }
--- a/library/src/main/java/org/copperspindle/membership/ControlUpdateMessage.java
+++ b/library/src/main/java/org/copperspindle/membership/ControlUpdateMessage.java
@@ -8,16 +8,16 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * Pushed by the leader: configuration and membership that the member lacks.
+ * Update pushed by the leader, with the configuration and the membership changes that the member doesn't have yet.
  *
  * @param term term of the leader
  * @param configVersion version of the configuration carried, 0 if none is
  * @param configText the whole INI text of that version; empty on the wire, filled in from the patch by {@link ControlLink}
- * @param full whether the membership is a whole one that replaces what the member knew
+ * @param full whether the update has the full membership, which replaces what the member knew
  * @param membershipRevision membership revision after this update
  * @param upstreams encoded {@link UpstreamAnnouncement}s that are new or changed
- * @param removed identities of upstreams that are gone, in UTF-8
- * @param configPatch encoded {@link org.copperspindle.config.ConfigPatch} that makes the text, empty for none
+ * @param removed identities of removed upstreams, in UTF-8
+ * @param configPatch encoded {@link org.copperspindle.config.ConfigPatch} from which the text is built, empty for none
  */
 public record ControlUpdateMessage(
         long term,
@@ -40,10 +40,10 @@
      * @param term term of the leader
      * @param configVersion version of the configuration carried, 0 if none is
      * @param configText the whole INI text of that version
-     * @param full whether the membership is a whole one that replaces what the member knew
+     * @param full whether the update has the full membership, which replaces what the member knew
      * @param membershipRevision membership revision after this update
      * @param upstreams encoded {@link UpstreamAnnouncement}s that are new or changed
-     * @param removed identities of upstreams that are gone, in UTF-8
+     * @param removed identities of removed upstreams, in UTF-8
      */
     public ControlUpdateMessage(
             long term,
@@ -57,7 +57,7 @@
     }
 
     /**
-     * Makes the same update with the configuration's text in place of the patch.
+     * Returns the same update with the configuration's text in place of the patch.
      *
      * @param text the whole INI text
      * @return the update that members handle
--- a/library/src/main/java/org/copperspindle/membership/LeaseClock.java
+++ b/library/src/main/java/org/copperspindle/membership/LeaseClock.java
@@ -5,12 +5,12 @@
 import java.util.Deque;
 
 /**
- * A member's count of its own lease. Pure: time comes in as an argument. The lease is counted from when the request was
- * sent, and a share of it is given up for the drift of clocks, so that the member's count ends before the leader's.
+ * Tracks a member's own lease. It reads no clock; time is passed as an argument. The lease runs from when the request
+ * was sent, and is shortened to allow for clock drift, so that it ends at the member before it ends at the leader.
  */
 final class LeaseClock {
 
-    /** Largest difference of two monotonic clocks' rates that the leases allow for. */
+    /** Largest relative difference between the rates of two monotonic clocks for which leases allow. */
     static final double CLOCK_DRIFT = 0.01;
 
     private static final int MAX_OUTSTANDING = 64;
@@ -21,15 +21,15 @@
     private long end;
     private boolean granted;
     private long share;
-    private long takenNumber;
+    private long lastGrantNumber;
 
-    /** Forgets the requests of a connection that ended; the lease itself goes on. */
+    /** Discards the outstanding requests of a closed connection; the lease itself continues. */
     void connectionChanged() {
         outstanding.clear();
     }
 
     /**
-     * Numbers a request.
+     * Registers a request.
      *
      * @param now     when it is sent, in nanoseconds
      * @param version configuration version that it reports
@@ -44,17 +44,17 @@
     }
 
     /**
-     * Takes a grant. Safeguards, each against serving under a version that control has left behind: a grant that
-     * answers no open request, comes from an older term, or names a version that the request did not report in force
-     * prolongs nothing. The lease then runs out by itself, and control waits for that before it calls a version
+     * Applies a grant. To prevent service under a version that control has already replaced, a grant that matches no
+     * outstanding request, comes from an older term, or names a version that the request did not report as in force
+     * doesn't extend the lease. The lease then expires, and control waits for that before it reports a version as
      * accepted.
      *
      * @param grant the grant
      * @param now   time in nanoseconds
-     * @return true if the lease was prolonged
+     * @return true if the lease was extended
      */
     boolean grant(LeaseGrantMessage grant, long now) {
-        if (!supports(grant.term())) {
+        if (!acceptTerm(grant.term())) {
             return false;
         }
         while (!outstanding.isEmpty() && outstanding.peek().number() < grant.number()) {
@@ -68,28 +68,28 @@
             return false;
         }
         long length = (long) (Duration.ofMillis(grant.leaseMillis()).toNanos() * (1 - CLOCK_DRIFT));
-        long granting = request.sentAt() + length;
-        if (granting <= now || granted && granting <= end) {
+        long newEnd = request.sentAt() + length;
+        if (newEnd <= now || granted && newEnd <= end) {
             return false;
         }
-        // A leader that says to go on counts on what was reported to it: a larger share that came in between, from its
-        // earlier term over the same connection, would be used without its knowledge.
+        // With KEEP_SHARE the leader assumes the share that this request reported. It doesn't know of a larger share
+        // that arrived in between, from its earlier term over the same connection.
         share = grant.rateShare() == LeaseGrantMessage.KEEP_SHARE
                 ? Math.min(rateShare(now), request.rateShare())
                 : grant.rateShare();
-        takenNumber = grant.number();
-        end = granting;
+        lastGrantNumber = grant.number();
+        end = newEnd;
         granted = true;
         return true;
     }
 
     /**
-     * Says whether a message of a term still counts, and remembers the term.
+     * Returns whether a message of a term is still valid, and records the term.
      *
      * @param term term of the sender
-     * @return false if a later leader was heard before
+     * @return false if a message of a later term was received before
      */
-    boolean supports(long term) {
+    boolean acceptTerm(long term) {
         if (term < highestTerm) {
             return false;
         }
@@ -98,46 +98,47 @@
     }
 
     /**
-     * Says whether the lease is held. Asked at each request rather than remembered: the timer that notices its end may
-     * be late when the process was paused.
+     * Returns whether the lease is held. Evaluated for each request rather than stored, since the timer for its end may
+     * be late after a process pause.
      *
      * @param now time in nanoseconds
      * @return true if the member may serve
      */
-    boolean held(long now) {
+    boolean isHeld(long now) {
         return granted && now < end;
     }
 
     /**
-     * Returns the part of every account's rate that may be used. It ends with the lease: control then gives it to others.
+     * Returns the share of every account's rate that may be used. It ends with the lease, since control then gives it
+     * to others.
      *
      * @param now time in nanoseconds
      * @return parts of {@link LeaseGrantMessage#WHOLE_RATE}
      */
     long rateShare(long now) {
-        return held(now) ? share : 0;
+        return isHeld(now) ? share : 0;
     }
 
-    /** Returns the number of the last grant that was taken, 0 for none. */
-    long takenNumber() {
-        return takenNumber;
+    /** Returns the number of the last grant that was applied, 0 for none. */
+    long lastGrantNumber() {
+        return lastGrantNumber;
     }
 
     boolean everHeld() {
         return granted;
     }
 
-    long left(long now) {
+    long remainingNanos(long now) {
         return end - now;
     }
 
     /**
-     * Returns how long the oldest open request has waited.
+     * Returns how long the oldest outstanding request has been waiting.
      *
      * @param now time in nanoseconds
-     * @return nanoseconds, 0 if none is open
+     * @return nanoseconds, 0 if none is outstanding
      */
-    long waiting(long now) {
+    long oldestWaitNanos(long now) {
         return outstanding.isEmpty() ? 0 : now - outstanding.peek().sentAt();
     }
 
--- a/library/src/main/java/org/copperspindle/membership/LeaseGrantMessage.java
+++ b/library/src/main/java/org/copperspindle/membership/LeaseGrantMessage.java
@@ -6,16 +6,16 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * The answer of the leader to a {@link LeaseRequestMessage}.
+ * Response of the leader to a {@link LeaseRequestMessage}.
  *
- * @param leaseMillis      length of the lease, counted by the member from when it sent the request; 0 if the lease is
- *                         not renewed, because the member is behind or a newer life of it is known
- * @param term             term of the leader; also the fencing number of its orders
+ * @param leaseMillis      length of the lease, measured by the member from when it sent the request; 0 if the lease is
+ *                         not renewed, because the member is behind or a newer incarnation of it is known
+ * @param term             term of the leader; also the fencing token of its orders
  * @param configVersion    newest version that is accepted or being put in force; a member below it must not serve
  * @param number           number of the request
  * @param newerIncarnation newest incarnation known, if it is newer than the one announced; else 0
- * @param rateShare        part of every account's rate that an entry may use while the lease runs, of
- *                         {@link #WHOLE_RATE}; {@link #KEEP_SHARE} if it goes on with what it uses
+ * @param rateShare        share of every account's rate that an entry may use during the lease, in parts of
+ *                         {@link #WHOLE_RATE}; {@link #KEEP_SHARE} if the entry keeps its current share
  */
 public record LeaseGrantMessage(
         long leaseMillis, long term, long configVersion, long number, long newerIncarnation, long rateShare)
@@ -25,14 +25,17 @@
     public static final MessageCodec<LeaseGrantMessage> CODEC =
             MessageCodec.of(12, LeaseGrantMessage.class, LeaseGrantMessage::write, LeaseGrantMessage::read);
 
-    /** Parts of a rate that all entries have together. */
+    /** The whole rate, which is the sum of the shares of all entries. */
     public static final long WHOLE_RATE = 1_000_000_000;
 
-    /** Sent by a leader that can't tell yet what is free: a share goes on if its lease ran until now, else it is 0. */
+    /**
+     * Sent by a leader that doesn't know yet what is free: the entry keeps its share if its lease was held until now,
+     * else it is 0.
+     */
     public static final long KEEP_SHARE = -1;
 
     /**
-     * Creates a grant that leaves the member's share as it is.
+     * Creates a grant that leaves the member's share unchanged.
      *
      * @param leaseMillis      length of the lease
      * @param term             term of the leader
--- a/library/src/main/java/org/copperspindle/membership/LeaseRequestMessage.java
+++ b/library/src/main/java/org/copperspindle/membership/LeaseRequestMessage.java
@@ -6,17 +6,18 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * Sent by an entry or agent to the leader, at every renewal and at once after a change. It renews the lease and says
- * what is in force at the member.
+ * Request of an entry or agent to the leader, sent at every renewal and immediately after a change. It renews the lease
+ * and reports what is in force at the member.
  *
  * @param configVersion      configuration version in force at the member, 0 for none
  * @param membershipRevision membership revision that the member has seen, 0 for none
  * @param announcement       encoded {@link UpstreamAnnouncement} of an agent, empty for an entry
- * @param leaving            whether the member stops and gives its lease back
+ * @param leaving            whether the member is stopping and returns its lease
  * @param number             number of the request on its connection, repeated by the grant
- * @param textVersion        version whose text the member holds, from which patches can be made; 0 for none
- * @param rateShare          part of every account's rate that an entry uses, of {@link LeaseGrantMessage#WHOLE_RATE}
- * @param shareNumber        number of the last grant that the member took; 0 for none
+ * @param textVersion        version whose text the member holds, as a base for patches; 0 for none
+ * @param rateShare          share of every account's rate that an entry uses, in parts of
+ *                           {@link LeaseGrantMessage#WHOLE_RATE}
+ * @param grantNumber        number of the last grant that the member applied; 0 for none
  */
 public record LeaseRequestMessage(
         long configVersion,
@@ -26,7 +27,7 @@
         long number,
         long textVersion,
         long rateShare,
-        long shareNumber)
+        long grantNumber)
         implements WireMessage {
 
     /** Codec of this message. */
@@ -39,13 +40,13 @@
      * @param configVersion      configuration version in force at the member, 0 for none
      * @param membershipRevision membership revision that the member has seen, 0 for none
      * @param announcement       encoded {@link UpstreamAnnouncement} of an agent, empty for an entry
-     * @param leaving            whether the member stops and gives its lease back
+     * @param leaving            whether the member is stopping and returns its lease
      */
     public LeaseRequestMessage(long configVersion, long membershipRevision, byte[] announcement, boolean leaving) {
         this(configVersion, membershipRevision, announcement, leaving, 0, 0, 0, 0);
     }
 
-    LeaseRequestMessage numbered(long newNumber, long newTextVersion, long newShare, long newShareNumber) {
+    LeaseRequestMessage numbered(long newNumber, long newTextVersion, long newShare, long newGrantNumber) {
         return new LeaseRequestMessage(
                 configVersion,
                 membershipRevision,
@@ -54,7 +55,7 @@
                 newNumber,
                 newTextVersion,
                 newShare,
-                newShareNumber);
+                newGrantNumber);
     }
 
     private void write(FieldWriter out) {
@@ -65,7 +66,7 @@
                 .put(5, number)
                 .put(6, textVersion)
                 .put(7, rateShare)
-                .put(8, shareNumber);
+                .put(8, grantNumber);
     }
 
     private static LeaseRequestMessage read(FieldReader in) {
--- a/library/src/main/java/org/copperspindle/membership/UpstreamAnnouncement.java
+++ b/library/src/main/java/org/copperspindle/membership/UpstreamAnnouncement.java
@@ -9,16 +9,16 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * What an agent says about its upstream. The pair of incarnation and sequence orders announcements: a late or doubled
- * one is recognised by it and changes nothing.
+ * State of an upstream as announced by its agent. Announcements are ordered by incarnation and sequence, so that a late
+ * or duplicate one is recognised and ignored.
  *
  * @param upstreamId    identity of the upstream
  * @param pool          pool that it belongs to
  * @param failureDomain failure domain of its VM
- * @param agentAddress  where entries reach its agent
- * @param incarnation   life of the agent; larger for each restart
- * @param sequence      number of the announcement in this life
- * @param models        models loaded now
+ * @param agentAddress  address at which entries reach its agent
+ * @param incarnation   incarnation of the agent; larger after each restart
+ * @param sequence      number of the announcement within this incarnation
+ * @param models        models that are currently loaded
  * @param draining      whether it is leaving and takes no new work
  */
 public record UpstreamAnnouncement(
@@ -37,10 +37,10 @@
             MessageCodec.of(10, UpstreamAnnouncement.class, UpstreamAnnouncement::write, UpstreamAnnouncement::read);
 
     /**
-     * Says whether this announcement is newer than another of the same upstream.
+     * Returns whether this announcement is newer than another of the same upstream.
      *
-     * @param other the one known so far
-     * @return true if this one takes its place
+     * @param other the announcement known so far
+     * @return true if this one replaces it
      */
     public boolean supersedes(UpstreamAnnouncement other) {
         return incarnation > other.incarnation || incarnation == other.incarnation && sequence > other.sequence;
--- a/library/src/main/java/org/copperspindle/membership/UpstreamSnapshot.java
+++ b/library/src/main/java/org/copperspindle/membership/UpstreamSnapshot.java
@@ -12,16 +12,16 @@
  *
  * @param revision   number of membership changes so far
  * @param upstreams  encoded {@link UpstreamAnnouncement}s
- * @param departures encoded {@link UpstreamDeparture}s, oldest first
+ * @param tombstones encoded {@link UpstreamTombstone}s, oldest first
  */
-record UpstreamSnapshot(long revision, List<byte[]> upstreams, List<byte[]> departures) implements WireMessage {
+record UpstreamSnapshot(long revision, List<byte[]> upstreams, List<byte[]> tombstones) implements WireMessage {
 
     /** Codec of this message. */
     static final MessageCodec<UpstreamSnapshot> CODEC =
             MessageCodec.of(57, UpstreamSnapshot.class, UpstreamSnapshot::write, UpstreamSnapshot::read);
 
     private void write(FieldWriter out) {
-        out.put(1, revision).put(2, upstreams).put(3, departures);
+        out.put(1, revision).put(2, upstreams).put(3, tombstones);
     }
 
     private static UpstreamSnapshot read(FieldReader in) {
--- a/library/src/main/java/org/copperspindle/membership/UpstreamTable.java
+++ b/library/src/main/java/org/copperspindle/membership/UpstreamTable.java
@@ -21,18 +21,19 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * The upstreams of the deployment with a bounded history of changes, from which members get only what they lack.
+ * The upstreams of the deployment, with a bounded history of changes so that members are sent only what they don't have
+ * yet.
  */
 public final class UpstreamTable implements StatePart {
 
-    /** Changes kept for deltas; a member further behind gets the whole membership. */
+    /** Changes kept for deltas; a member that is further behind gets the full membership. */
     public static final int MAX_CHANGES = 8192;
 
-    /** Departures kept; at 560 restarts and failures a day the last 29 days. */
-    public static final int MAX_DEPARTURES = 16_384;
+    /** Tombstones kept; at 560 restarts and failures a day they cover the last 29 days. */
+    public static final int MAX_TOMBSTONES = 16_384;
 
     private final Map<String, UpstreamAnnouncement> upstreams = new LinkedHashMap<>();
-    private final Map<String, UpstreamDeparture> departures = new LinkedHashMap<>();
+    private final Map<String, UpstreamTombstone> tombstones = new LinkedHashMap<>();
     private final Deque<String> changes = new ArrayDeque<>();
     private final Map<Long, MembershipDelta> deltas = new LinkedHashMap<>();
     private long revision;
@@ -58,31 +59,31 @@
     }
 
     /**
-     * Says whether an announcement would change anything; a late or doubled one does not.
+     * Returns whether an announcement would change anything; a late or duplicate one doesn't.
      *
      * @param announcement the announcement
-     * @return true if it is news
+     * @return true if it is newer than what is known
      */
-    public boolean isNews(UpstreamAnnouncement announcement) {
+    public boolean isNewer(UpstreamAnnouncement announcement) {
         UpstreamAnnouncement known = upstreams.get(announcement.upstreamId());
         if (known != null) {
             return announcement.supersedes(known);
         }
-        UpstreamDeparture departure = departures.get(announcement.upstreamId());
-        return departure == null || !departure.bars(announcement);
+        UpstreamTombstone tombstone = tombstones.get(announcement.upstreamId());
+        return tombstone == null || !tombstone.rejects(announcement);
     }
 
     /**
      * Returns the largest incarnation seen of an upstream.
      *
      * @param upstreamId identity of the upstream
-     * @return the incarnation, 0 if it was never seen or long ago
+     * @return the incarnation, 0 if it was never seen, or so long ago that its tombstone was dropped
      */
     public long newestIncarnation(String upstreamId) {
         UpstreamAnnouncement known = upstreams.get(upstreamId);
-        UpstreamDeparture departure = departures.get(upstreamId);
+        UpstreamTombstone tombstone = tombstones.get(upstreamId);
         long alive = known == null ? 0 : known.incarnation();
-        return departure == null ? alive : Math.max(alive, departure.incarnation());
+        return tombstone == null ? alive : Math.max(alive, tombstone.incarnation());
     }
 
     /**
@@ -95,7 +96,7 @@
     }
 
     /**
-     * Returns the upstreams known.
+     * Returns the known upstreams.
      *
      * @return announcements by identity, a read-only view
      */
@@ -104,27 +105,28 @@
     }
 
     /**
-     * Makes what a member lacks. Made once for each revision that members have.
+     * Returns the difference to a member's revision. It is computed once for each revision that members have.
      *
      * @param memberRevision revision that the member has seen, 0 for none
      * @return the difference; a full one if the member is too far behind
      */
-    public MembershipDelta since(long memberRevision) {
+    public MembershipDelta deltaSince(long memberRevision) {
         boolean full = memberRevision <= 0 || memberRevision > revision || revision - memberRevision > changes.size();
-        return deltas.computeIfAbsent(full ? 0 : memberRevision, r -> full ? whole() : delta(r));
+        return deltas.computeIfAbsent(full ? 0 : memberRevision, r -> full ? fullDelta() : delta(r));
     }
 
     @Override
     public byte[] snapshot() {
-        List<byte[]> ended = new ArrayList<>();
-        departures.values().forEach(d -> ended.add(UpstreamDeparture.CODEC.encode(d)));
-        return UpstreamSnapshot.CODEC.encode(new UpstreamSnapshot(revision, whole().upstreams(), ended));
+        List<byte[]> encodedTombstones = new ArrayList<>();
+        tombstones.values().forEach(t -> encodedTombstones.add(UpstreamTombstone.CODEC.encode(t)));
+        return UpstreamSnapshot.CODEC.encode(
+                new UpstreamSnapshot(revision, fullDelta().upstreams(), encodedTombstones));
     }
 
     @Override
     public void clear() {
         upstreams.clear();
-        departures.clear();
+        tombstones.clear();
         changes.clear();
         deltas.clear();
         revision = 0;
@@ -138,19 +140,19 @@
             UpstreamAnnouncement announcement = UpstreamAnnouncement.CODEC.decode(encoded);
             upstreams.put(announcement.upstreamId(), announcement);
         }
-        for (byte[] encoded : decoded.departures()) {
-            UpstreamDeparture departure = UpstreamDeparture.CODEC.decode(encoded);
-            departures.put(departure.upstreamId(), departure);
+        for (byte[] encoded : decoded.tombstones()) {
+            UpstreamTombstone tombstone = UpstreamTombstone.CODEC.decode(encoded);
+            tombstones.put(tombstone.upstreamId(), tombstone);
         }
     }
 
     private void announce(UpstreamAnnouncement announcement) {
-        if (!isNews(announcement)) {
+        if (!isNewer(announcement)) {
             return;
         }
         upstreams.put(announcement.upstreamId(), announcement);
-        departures.remove(announcement.upstreamId());
-        changed(announcement.upstreamId());
+        tombstones.remove(announcement.upstreamId());
+        recordChange(announcement.upstreamId());
     }
 
     private void remove(RemoveUpstreamCommand remove) {
@@ -159,18 +161,18 @@
             return;
         }
         upstreams.remove(remove.upstreamId());
-        departures.put(
+        tombstones.put(
                 remove.upstreamId(),
-                new UpstreamDeparture(remove.upstreamId(), known.incarnation(), known.sequence(), remove.left()));
-        if (departures.size() > MAX_DEPARTURES) {
-            Iterator<String> oldest = departures.keySet().iterator();
+                new UpstreamTombstone(remove.upstreamId(), known.incarnation(), known.sequence(), remove.left()));
+        if (tombstones.size() > MAX_TOMBSTONES) {
+            Iterator<String> oldest = tombstones.keySet().iterator();
             oldest.next();
             oldest.remove();
         }
-        changed(remove.upstreamId());
+        recordChange(remove.upstreamId());
     }
 
-    private void changed(String upstreamId) {
+    private void recordChange(String upstreamId) {
         revision++;
         deltas.clear();
         changes.add(upstreamId);
@@ -179,21 +181,21 @@
         }
     }
 
-    private MembershipDelta whole() {
+    private MembershipDelta fullDelta() {
         List<byte[]> encoded = new ArrayList<>(upstreams.size());
         upstreams.values().forEach(u -> encoded.add(UpstreamAnnouncement.CODEC.encode(u)));
         return new MembershipDelta(true, revision, encoded, List.of());
     }
 
     private MembershipDelta delta(long memberRevision) {
-        Set<String> touched = new LinkedHashSet<>();
+        Set<String> changedIds = new LinkedHashSet<>();
         Iterator<String> newest = changes.descendingIterator();
         for (long left = revision - memberRevision; left > 0; left--) {
-            touched.add(newest.next());
+            changedIds.add(newest.next());
         }
         List<byte[]> encoded = new ArrayList<>();
         List<byte[]> removed = new ArrayList<>();
-        for (String id : touched) {
+        for (String id : changedIds) {
             UpstreamAnnouncement known = upstreams.get(id);
             if (known == null) {
                 removed.add(id.getBytes(StandardCharsets.UTF_8));
--- a/library/src/main/java/org/copperspindle/membership/UpstreamTombstone.java
+++ b/library/src/main/java/org/copperspindle/membership/UpstreamTombstone.java
@@ -6,20 +6,20 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * The end of one life of an upstream, kept so that a late announcement of that life changes nothing.
+ * Record of the end of one incarnation of an upstream, kept so that a late announcement of that incarnation is ignored.
  *
  * @param upstreamId  identity of the upstream
- * @param incarnation the life that ended
- * @param sequence    its last announcement
- * @param left        whether it left by itself; otherwise its lease ran out, and the same life may come back
+ * @param incarnation the incarnation that ended
+ * @param sequence    sequence of its last announcement
+ * @param left        whether it left deliberately; otherwise its lease expired, and the same incarnation may come back
  */
-record UpstreamDeparture(String upstreamId, long incarnation, long sequence, boolean left) implements WireMessage {
+record UpstreamTombstone(String upstreamId, long incarnation, long sequence, boolean left) implements WireMessage {
 
     /** Codec of this message. */
-    static final MessageCodec<UpstreamDeparture> CODEC =
-            MessageCodec.of(58, UpstreamDeparture.class, UpstreamDeparture::write, UpstreamDeparture::read);
+    static final MessageCodec<UpstreamTombstone> CODEC =
+            MessageCodec.of(58, UpstreamTombstone.class, UpstreamTombstone::write, UpstreamTombstone::read);
 
-    boolean bars(UpstreamAnnouncement announcement) {
+    boolean rejects(UpstreamAnnouncement announcement) {
         if (announcement.incarnation() != incarnation) {
             return announcement.incarnation() < incarnation;
         }
@@ -30,7 +30,7 @@
         out.put(1, upstreamId).put(2, incarnation).put(3, sequence).put(4, left);
     }
 
-    private static UpstreamDeparture read(FieldReader in) {
-        return new UpstreamDeparture(in.getString(1), in.getLong(2, 0), in.getLong(3, 0), in.getBoolean(4));
+    private static UpstreamTombstone read(FieldReader in) {
+        return new UpstreamTombstone(in.getString(1), in.getLong(2, 0), in.getLong(3, 0), in.getBoolean(4));
     }
 }
--- a/library/src/test/java/org/copperspindle/control/ControlStateTest.java
+++ b/library/src/test/java/org/copperspindle/control/ControlStateTest.java
@@ -19,7 +19,7 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 /**
- * The replicated state: what a snapshot carries, and what each command answers.
+ * The replicated state: the contents of snapshots, and the result of each command.
  */
 class ControlStateTest {
 
@@ -29,12 +29,12 @@
     private long index;
 
     /**
-     * A member is restored from a snapshot in the middle of a history while another applies every command. Whatever
-     * follows, both answer the same and end with the same bytes; otherwise a voter that was repaired would disagree
+     * A member is restored from a snapshot in the middle of a history while another applies every command. From then on
+     * both must give the same results and end with the same bytes; otherwise a voter that was repaired would disagree
      * with the others after the next failover.
      */
     @Property(seed = "4711", tries = 200)
-    void restoredMemberAnswersLikeTheOthers(@ForAll("commands") List<WireMessage> commands, @ForAll int cut) {
+    void restoredMemberGivesTheSameResultsAsTheOthers(@ForAll("commands") List<WireMessage> commands, @ForAll int cut) {
         ControlState whole = new ControlState();
         ControlState restored = new ControlState();
         int at = Math.floorMod(cut, commands.size() + 1);
@@ -63,22 +63,22 @@
                         Arbitraries.integers().between(0, 5),
                         Arbitraries.longs().between(1, 4),
                         Arbitraries.longs().between(1, 4))
-                .as((id, life, sequence) -> announce("u" + id, life, sequence));
+                .as((id, incarnation, sequence) -> announce("u" + id, incarnation, sequence));
         Arbitrary<WireMessage> remove = Combinators.combine(
                         Arbitraries.integers().between(0, 5),
                         Arbitraries.longs().between(1, 4),
                         Arbitraries.of(true, false))
-                .as((id, life, left) -> new RemoveUpstreamCommand("u" + id, life, left));
+                .as((id, incarnation, left) -> new RemoveUpstreamCommand("u" + id, incarnation, left));
         Arbitrary<WireMessage> claim = Arbitraries.integers().between(0, 8).map(ControlStateTest::claim);
         return Arbitraries.oneOf(apply, announce, remove, claim).list().ofMaxSize(60);
     }
 
     /**
-     * Two operators make a change from the same version and both resend after losing their answers, one before and
-     * one after further changes. One wins; the other hears whose version stands in its way, the same each time.
+     * Two operators make a change from the same version, and both resend after losing their responses, one before and
+     * one after further changes. One must succeed; the other must be told each time which version conflicts.
      */
     @Test
-    void oneOfTwoOperatorsWinsAndResendsGetTheFirstAnswer() {
+    void oneOfTwoOperatorsSucceedsAndResendsGetTheFirstResult() {
         ControlResult won = config("a1", 0, "ann", "one");
         ControlResult lost = config("b1", 0, "bob", "two");
         config("a2", 1, "ann", "three");
@@ -102,11 +102,11 @@
     }
 
     /**
-     * A change is refused because its base does not exist yet; others then make that base. Resent, it must hear its
-     * first answer rather than be accepted: its operator may have made another change since.
+     * A change is refused because its base does not exist yet; then others make that base. Resent, it must get its
+     * first result rather than be accepted: its operator may have made another change since.
      */
     @Test
-    void refusedChangeStaysRefusedWhenItsBaseComesUp() {
+    void refusedChangeStaysRefusedWhenItsBaseIsMade() {
         ControlResult first = config("b1", 1, "bob", "two");
         config("a1", 0, "ann", "one");
 
@@ -114,11 +114,11 @@
     }
 
     /**
-     * A change was accepted, and so many followed that its id is forgotten. Resent, it is neither made again nor
-     * called lost to another: nobody can tell any more, and the answer says so.
+     * A change was accepted, and so many followed that its id was dropped. Resent, it must be neither made again nor
+     * refused in favour of another change: the result must say that this is no longer known.
      */
     @Test
-    void forgottenChangeIsNeitherAppliedTwiceNorJudged() {
+    void droppedChangeIdIsNeitherAppliedAgainNorRefused() {
         for (int i = 0; i <= org.copperspindle.config.ConfigHistory.MAX_ACCEPTED + 1; i++) {
             config("c" + i, i, "ann", "text " + i);
         }
@@ -128,7 +128,10 @@
         assertThat(state.config().version()).isEqualTo(before);
     }
 
-    /** A late or doubled announcement, or one of a life that has left, changes nothing; a lost lease may be regained. */
+    /**
+     * A late or duplicate announcement, or one of an incarnation that has left, changes nothing; an incarnation whose
+     * lease expired may come back.
+     */
     @Test
     void lateAnnouncementsChangeNothing() {
         apply(announce("u1", 2, 5));
@@ -139,7 +142,7 @@
         assertThat(state.upstreams().revision()).isEqualTo(revision);
 
         apply(new RemoveUpstreamCommand("u1", 2, false));
-        assertThat(state.upstreams().isNews(announcement("u1", 2, 4))).isFalse();
+        assertThat(state.upstreams().isNewer(announcement("u1", 2, 4))).isFalse();
         apply(announce("u1", 2, 5));
         assertThat(state.upstreams().all()).containsKey("u1");
 
@@ -169,12 +172,12 @@
         return state.apply(index++, 1, state.encode(command));
     }
 
-    private static AnnounceCommand announce(String id, long life, long sequence) {
-        return new AnnounceCommand(UpstreamAnnouncement.CODEC.encode(announcement(id, life, sequence)));
+    private static AnnounceCommand announce(String id, long incarnation, long sequence) {
+        return new AnnounceCommand(UpstreamAnnouncement.CODEC.encode(announcement(id, incarnation, sequence)));
     }
 
-    private static UpstreamAnnouncement announcement(String id, long life, long sequence) {
-        return new UpstreamAnnouncement(id, "engines", "north", AGENT, life, sequence, List.of("m"), false);
+    private static UpstreamAnnouncement announcement(String id, long incarnation, long sequence) {
+        return new UpstreamAnnouncement(id, "engines", "north", AGENT, incarnation, sequence, List.of("m"), false);
     }
 
     private static ClaimCommand claim(int number) {
--- a/library/src/test/java/org/copperspindle/membership/ConfigurationScheduleTest.java
+++ b/library/src/test/java/org/copperspindle/membership/ConfigurationScheduleTest.java
@@ -12,37 +12,38 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.copperspindle.control.ApplyOutcome;
-import org.copperspindle.membership.VirtualDeployment.StandIn;
+import org.copperspindle.membership.VirtualDeployment.SimulatedProcess;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Random schedules of racing operators who resend, partitions, leader changes, restarts and drifting clocks, checked
- * after each step.
+ * Random schedules of concurrent operators who resend, partitions, leader changes, restarts and drifting clocks, with
+ * the invariants checked after each step.
  */
 class ConfigurationScheduleTest {
 
     private static final int STEPS = 400;
     private static final int ENTRIES = 6;
-    private static final Duration LONG = Duration.ofMinutes(2);
+    private static final Duration LONG_WAIT = Duration.ofMinutes(2);
 
-    private final Map<String, ApplyOutcome> certain = new HashMap<>();
+    private final Map<String, ApplyOutcome> definite = new HashMap<>();
     private final List<Change> sent = new ArrayList<>();
-    private final Map<StandIn, Long> highest = new HashMap<>();
+    private final Map<SimulatedProcess, Long> highest = new HashMap<>();
     private VirtualDeployment deployment;
     private SplittableRandom random;
     private long accepted;
 
     /**
-     * Whatever comes when: what an operator was told is in force, everything that serves serves; no member goes back;
-     * a change id gets one certain answer however often it is resent and to whom; two operators never both win one
-     * base. When all is healed, every entry serves the newest version.
+     * Invariants: every serving member serves at least the version that an operator was last told is accepted; no
+     * member goes back to an older version; a change id gets one definite answer however often and to whichever member
+     * it is resent; two operators never both succeed from one base version. When all faults are over, every entry
+     * serves the newest version.
      */
     @Property(seed = "20261202", tries = 40)
-    void acceptedIsInForceWhateverHappens(@ForAll long seed) {
+    void acceptedVersionIsInForceUnderRandomFaults(@ForAll long seed) {
         random = new SplittableRandom(seed);
         deployment = new VirtualDeployment(3);
-        certain.clear();
+        definite.clear();
         sent.clear();
         highest.clear();
         accepted = 0;
@@ -50,20 +51,22 @@
             start(i, 1);
         }
         for (int step = 0; step < STEPS; step++) {
-            disturb(step);
+            injectFault(step);
             deployment.time.advance(random.nextLong(Duration.ofMillis(400).toNanos()));
             check();
         }
-        deployment.cutOff.clear();
+        deployment.isolated.clear();
         deployment.advance(Duration.ofSeconds(20));
         check();
         long newest = deployment.leader().state.config().version();
         assertThat(newest).isPositive();
-        assertThat(deployment.members.values()).allMatch(StandIn::serves).allMatch(m -> m.version == newest);
+        assertThat(deployment.members.values())
+                .allMatch(SimulatedProcess::serves)
+                .allMatch(m -> m.version == newest);
         assertOneWinnerForEachBase();
     }
 
-    private void disturb(int step) {
+    private void injectFault(int step) {
         int kind = random.nextInt(12);
         String entry = "entry-" + random.nextInt(ENTRIES);
         if (kind < 3) {
@@ -72,22 +75,22 @@
         } else if (kind < 5 && !sent.isEmpty()) {
             send(sent.get(random.nextInt(sent.size())));
         } else if (kind < 7) {
-            deployment.cutOff.add(entry);
+            deployment.isolated.add(entry);
         } else if (kind < 9) {
-            deployment.cutOff.clear();
+            deployment.isolated.clear();
         } else if (kind == 9) {
             deployment.lead(random.nextInt(3));
         } else if (kind == 10) {
             deployment.members.get(entry).kill();
             start(Integer.parseInt(entry.substring(6)), step + 2L);
         } else {
-            deployment.cutOff.add("control-" + random.nextInt(3));
+            deployment.isolated.add("control-" + random.nextInt(3));
         }
     }
 
-    private void start(int number, long life) {
+    private void start(int number, long incarnation) {
         double rate = 1 + (random.nextDouble() - 0.5) * 0.01;
-        deployment.member("entry-" + number, life, rate, Optional.empty());
+        deployment.member("entry-" + number, incarnation, rate, Optional.empty());
     }
 
     private void send(Change change) {
@@ -95,15 +98,15 @@
             sent.add(change);
         }
         int control = random.nextInt(4) == 0 ? random.nextInt(3) : deployment.controls.indexOf(deployment.leader());
-        List<ApplyOutcome> outcomes = deployment.apply(control, change.id, change.base, change.text, LONG);
+        List<ApplyOutcome> outcomes = deployment.apply(control, change.id, change.base, change.text, LONG_WAIT);
         change.answers.add(outcomes);
     }
 
     private void check() {
         for (Change change : sent) {
-            change.answers.forEach(answers -> answers.forEach(answer -> note(change, answer)));
+            change.answers.forEach(answers -> answers.forEach(answer -> recordAnswer(change, answer)));
         }
-        for (StandIn member : deployment.members.values()) {
+        for (SimulatedProcess member : deployment.members.values()) {
             assertThat(member.version).isGreaterThanOrEqualTo(highest.getOrDefault(member, 0L));
             highest.put(member, member.version);
             if (member.serves()) {
@@ -112,11 +115,11 @@
         }
     }
 
-    private void note(Change change, ApplyOutcome answer) {
+    private void recordAnswer(Change change, ApplyOutcome answer) {
         if (answer instanceof ApplyOutcome.Unknown || answer instanceof ApplyOutcome.NotTaken) {
             return;
         }
-        ApplyOutcome before = certain.putIfAbsent(change.id, answer);
+        ApplyOutcome before = definite.putIfAbsent(change.id, answer);
         assertThat(answer).isEqualTo(before == null ? answer : before);
         if (answer instanceof ApplyOutcome.Accepted version) {
             accepted = Math.max(accepted, version.version());
@@ -124,7 +127,7 @@
     }
 
     private void assertOneWinnerForEachBase() {
-        Predicate<Change> won = c -> certain.get(c.id) instanceof ApplyOutcome.Accepted;
+        Predicate<Change> won = c -> definite.get(c.id) instanceof ApplyOutcome.Accepted;
         Map<Long, String> winners = new HashMap<>();
         sent.stream()
                 .filter(won)
--- a/library/src/test/java/org/copperspindle/membership/UpstreamMembershipTest.java
+++ b/library/src/test/java/org/copperspindle/membership/UpstreamMembershipTest.java
@@ -2,45 +2,49 @@
 
 import java.time.Duration;
 
-import org.copperspindle.membership.VirtualDeployment.StandIn;
+import org.copperspindle.membership.VirtualDeployment.SimulatedProcess;
 import org.junit.jupiter.api.Test;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Who is a member: leases of agents, lives in the wrong order, and what entries hear of it. In virtual time.
+ * Membership of upstreams: leases of agents, incarnations out of order, and the updates that entries receive. In
+ * virtual time.
  */
 class UpstreamMembershipTest {
 
     private final VirtualDeployment deployment = new VirtualDeployment(3);
 
-    /** An agent is lost without a word. Its upstream goes once its lease has run out, and entries hear of it. */
+    /**
+     * An agent becomes unreachable without notice. Its upstream must be removed once its lease has expired, and entries
+     * must be updated.
+     */
     @Test
-    void upstreamGoesWithItsLease() {
-        StandIn entry = deployment.entry("entry-1");
+    void upstreamIsRemovedWithItsLease() {
+        SimulatedProcess entry = deployment.entry("entry-1");
         deployment.agent("u1", 10);
         deployment.advance(Duration.ofSeconds(3));
         assertThat(entry.upstreams).containsExactly("u1");
 
-        deployment.cutOff.add("u1");
+        deployment.isolated.add("u1");
         deployment.advance(Duration.ofSeconds(3));
         assertThat(entry.upstreams).containsExactly("u1");
         deployment.advance(Duration.ofSeconds(3));
         assertThat(entry.upstreams).isEmpty();
 
-        deployment.cutOff.clear();
+        deployment.isolated.clear();
         deployment.advance(Duration.ofSeconds(3));
         assertThat(entry.upstreams).containsExactly("u1");
     }
 
     /**
-     * An agent dies together with the leader. The new leader has never heard of it, so that no lease of its own runs
-     * out; it must remove the upstream all the same, and must not remove those whose agents are still on the way to it.
+     * An agent crashes together with the leader. The new leader never sees it, so that no lease known to it expires; it
+     * must remove the upstream all the same, and must not remove those whose agents are still reconnecting.
      */
     @Test
-    void newLeaderRemovesUpstreamsThatNeverCome() {
-        StandIn entry = deployment.entry("entry-1");
-        StandIn lost = deployment.agent("u1", 10);
+    void newLeaderRemovesUpstreamsThatDoNotReconnect() {
+        SimulatedProcess entry = deployment.entry("entry-1");
+        SimulatedProcess lost = deployment.agent("u1", 10);
         deployment.agent("u2", 10);
         deployment.advance(Duration.ofSeconds(3));
         lost.kill();
@@ -54,15 +58,16 @@
     }
 
     /**
-     * A VM restarts with its clock set back, so that the new life of the agent has a smaller number than the old one.
-     * Control names the life that it knows, the new one takes a larger number, and its upstream is announced again.
+     * A VM restarts with its clock set back, so that the new incarnation of the agent has a smaller number than the old
+     * one. Control reports the incarnation that it knows, the new process takes a larger number, and its upstream is
+     * announced again.
      */
     @Test
     void restartWithTheClockSetBackGetsALargerIncarnation() {
-        StandIn old = deployment.agent("u1", 1000);
+        SimulatedProcess old = deployment.agent("u1", 1000);
         deployment.advance(Duration.ofSeconds(3));
         old.kill();
-        StandIn restarted = deployment.agent("u1", 500);
+        SimulatedProcess restarted = deployment.agent("u1", 500);
         deployment.advance(Duration.ofSeconds(3));
 
         assertThat(restarted.incarnation).isEqualTo(1001);
@@ -71,17 +76,17 @@
     }
 
     /**
-     * A VM is replaced while the old one is cut off; then the old process wakes and announces its upstream as before.
-     * It gets no lease and changes nothing, and does not push the new one out by taking a larger number.
+     * A VM is replaced while the old one is isolated; then the old process resumes and announces its upstream as
+     * before. It must get no lease and change nothing, and must not supersede the new one by taking a larger number.
      */
     @Test
-    void oldLifeThatWakesChangesNothing() {
-        StandIn old = deployment.agent("u1", 1000);
+    void oldIncarnationThatResumesChangesNothing() {
+        SimulatedProcess old = deployment.agent("u1", 1000);
         deployment.advance(Duration.ofSeconds(3));
-        deployment.cutOff.add("u1");
+        deployment.isolated.add("u1");
         deployment.advance(Duration.ofSeconds(8));
-        deployment.cutOff.clear();
-        StandIn fresh = deployment.agent("u1", 2000);
+        deployment.isolated.clear();
+        SimulatedProcess fresh = deployment.agent("u1", 2000);
         deployment.advance(Duration.ofSeconds(10));
 
         assertThat(announced("u1").incarnation()).isEqualTo(2000);
@@ -90,13 +95,13 @@
         assertThat(old.incarnation).isEqualTo(1000);
     }
 
-    /** An upstream starts to leave: every entry hears of it well within three seconds. */
+    /** An upstream starts to drain: every entry must know it well within three seconds. */
     @Test
-    void entriesHearOfALeavingUpstreamWithinThreeSeconds() {
+    void entriesKnowADrainingUpstreamWithinThreeSeconds() {
         for (int i = 0; i < 20; i++) {
             deployment.entry("entry-" + i);
         }
-        StandIn agent = deployment.agent("u1", 10);
+        SimulatedProcess agent = deployment.agent("u1", 10);
         deployment.advance(Duration.ofSeconds(6));
         agent.draining = true;
         agent.sequence++;
@@ -111,11 +116,11 @@
     }
 
     /**
-     * The leader is lost at the design size: 840 entries and 4,300 agents look for the new one at once. Nobody loses a
-     * lease, and in no tenth of a second do more messages travel than three times the usual.
+     * The leader is lost at the design size: 840 entries and 4,300 agents look for the new one at once. None may lose
+     * its lease, and no 100 ms interval may see more than three times the usual number of messages.
      */
     @Test
-    void rejoinOfTheWholeFleetIsSpreadAndKeepsEveryLease() {
+    void reconnectOfTheWholeFleetIsSpreadAndKeepsEveryLease() {
         deployment.apply(0, "c1", 0, "one", Duration.ofSeconds(30));
         for (int i = 0; i < 840; i++) {
             deployment.entry("entry-" + i);
@@ -124,17 +129,17 @@
             deployment.agent("u" + i, 10);
         }
         deployment.advance(Duration.ofSeconds(10));
-        long usual = busiestTenth(10);
+        long usual = maxMessagesPer100Millis(10);
         deployment.lead(1);
-        deployment.cutOff.add("control-0");
-        long storm = busiestTenth(50);
+        deployment.isolated.add("control-0");
+        long afterLoss = maxMessagesPer100Millis(50);
 
-        assertThat(storm).isLessThan(3 * usual);
+        assertThat(afterLoss).isLessThan(3 * usual);
     }
 
-    private long busiestTenth(int tenths) {
+    private long maxMessagesPer100Millis(int intervals) {
         long busiest = 0;
-        for (int i = 0; i < tenths; i++) {
+        for (int i = 0; i < intervals; i++) {
             long before = deployment.messages;
             deployment.advance(Duration.ofMillis(100));
             busiest = Math.max(busiest, deployment.messages - before);
--- a/library/src/test/java/org/copperspindle/membership/VirtualDeployment.java
+++ b/library/src/test/java/org/copperspindle/membership/VirtualDeployment.java
@@ -29,8 +29,8 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * Control members and stand-in processes in virtual time, with a log that commits after a delay and connections that
- * can be cut without a word.
+ * Control members and simulated processes in virtual time, with a log that commits after a delay and connections that
+ * can be partitioned without notice.
  */
 final class VirtualDeployment {
 
@@ -42,8 +42,8 @@
 
     final VirtualTimerService time = new VirtualTimerService();
     final List<Control> controls = new ArrayList<>();
-    final Map<String, StandIn> members = new LinkedHashMap<>();
-    final Set<String> cutOff = new HashSet<>();
+    final Map<String, SimulatedProcess> members = new LinkedHashMap<>();
+    final Set<String> isolated = new HashSet<>();
     private final DecisionQueue queue = task -> {
         task.run();
         return true;
@@ -62,7 +62,9 @@
         lead(0);
     }
 
-    /** The former leader's own lease has ended by now, as the log promises. */
+    /**
+     * Makes another control member the leader. The former leader's own lease has ended by now, as the log guarantees.
+     */
     void lead(int number) {
         term++;
         leader = controls.get(number);
@@ -76,16 +78,16 @@
         time.advance(duration.toNanos());
     }
 
-    StandIn entry(String id) {
+    SimulatedProcess entry(String id) {
         return member(id, 1, 1.0, Optional.empty());
     }
 
-    StandIn agent(String id, long incarnation) {
+    SimulatedProcess agent(String id, long incarnation) {
         return member(id, incarnation, 1.0, Optional.of("engines"));
     }
 
-    StandIn member(String id, long life, double clockRate, Optional<String> pool) {
-        StandIn member = new StandIn(id, life, clockRate, pool);
+    SimulatedProcess member(String id, long startIncarnation, double clockRate, Optional<String> pool) {
+        SimulatedProcess member = new SimulatedProcess(id, startIncarnation, clockRate, pool);
         members.put(id, member);
         member.link.start();
         return member;
@@ -98,7 +100,7 @@
         return outcomes;
     }
 
-    /** One control member; its log is a share of the common one. */
+    /** One control member; all of them share one log. */
     final class Control implements ReplicatedLog {
         final ControlState state = new ControlState();
         final ControlService service = new ControlService(queue, time, this, state, LEASE);
@@ -132,7 +134,7 @@
         public void propose(byte[] command, Consumer<ProposalResult> callback) {
             long proposedIn = term;
             time.schedule(COMMIT_NANOS, () -> {
-                // Committed by the others even where this member no longer leads: it just never learns of it.
+                // The others commit the command even if this member no longer leads; it just never learns of it.
                 index++;
                 boolean stillLeads = leader == this && term == proposedIn;
                 for (Control control : controls) {
@@ -149,17 +151,17 @@
 
         @Override
         public void close() {
-            // nothing is open
+            // Nothing is open.
         }
     }
 
-    /** A process that serves under a lease; it puts texts in force without reading them. */
-    final class StandIn implements ControlLinkListener, ControlConnector {
+    /** A process that serves under a lease; it puts configuration texts in force without parsing them. */
+    final class SimulatedProcess implements ControlLinkListener, ControlConnector {
         final String id;
         final ControlLink link;
         final Optional<String> pool;
         final Set<String> upstreams = new HashSet<>();
-        private final long greetedAs;
+        private final long greetedIncarnation;
         private final List<InetSocketAddress> addresses = new ArrayList<>();
         long incarnation;
         long sequence = 1;
@@ -169,12 +171,12 @@
         String text = "";
         boolean stuck;
         boolean draining;
-        boolean dead;
+        boolean killed;
 
-        private StandIn(String id, long life, double clockRate, Optional<String> pool) {
+        private SimulatedProcess(String id, long startIncarnation, double clockRate, Optional<String> pool) {
             this.id = id;
-            this.greetedAs = life;
-            this.incarnation = life;
+            this.greetedIncarnation = startIncarnation;
+            this.incarnation = startIncarnation;
             this.pool = pool;
             for (int i = 0; i < controls.size(); i++) {
                 addresses.add(new InetSocketAddress("127.0.0.1", 8000 + i));
@@ -184,11 +186,11 @@
         }
 
         boolean serves() {
-            return !dead && version > 0 && link.isLeaseHeld();
+            return !killed && version > 0 && link.isLeaseHeld();
         }
 
         void kill() {
-            dead = true;
+            killed = true;
             link.stop();
         }
 
@@ -219,12 +221,12 @@
 
         @Override
         public void onLease(boolean held) {
-            // tests ask the link
+            // Tests query the link.
         }
 
         @Override
         public void onReply(WireMessage message) {
-            // tests send no requests
+            // Tests send no requests.
         }
 
         @Override
@@ -235,19 +237,20 @@
         @Override
         public void connect(InetSocketAddress target, PeerListener listener, Runnable failed) {
             Control control = controls.get(target.getPort() - 8000);
-            if (cutOff.contains(control.name) || cutOff.contains(id)) {
+            if (isolated.contains(control.name) || isolated.contains(id)) {
                 time.schedule(Duration.ofSeconds(1).toNanos(), failed);
                 return;
             }
             Connection here = new Connection(this, listener, new GreetingMessage(1, "control", control.name, 1));
-            Connection there = new Connection(this, control.service, new GreetingMessage(1, "p", id, greetedAs));
+            Connection there =
+                    new Connection(this, control.service, new GreetingMessage(1, "p", id, greetedIncarnation));
             here.other = there;
             there.other = here;
             time.schedule(DELAY_NANOS, () -> listener.onOpen(here));
         }
 
         private boolean unreachable(String control) {
-            return dead || cutOff.contains(id) || cutOff.contains(control);
+            return killed || isolated.contains(id) || isolated.contains(control);
         }
     }
 
@@ -261,14 +264,14 @@
 
     /** One end of a connection. */
     private final class Connection implements Peer {
-        private final StandIn member;
+        private final SimulatedProcess member;
         private final PeerListener owner;
         private final GreetingMessage greeting;
-        private final Deque<Runnable> underWay = new ArrayDeque<>();
+        private final Deque<Runnable> inFlight = new ArrayDeque<>();
         private Connection other;
         private boolean open = true;
 
-        private Connection(StandIn member, PeerListener owner, GreetingMessage greeting) {
+        private Connection(SimulatedProcess member, PeerListener owner, GreetingMessage greeting) {
             this.member = member;
             this.owner = owner;
             this.greeting = greeting;
@@ -289,30 +292,33 @@
                 return false;
             }
             messages++;
-            pass(() -> other.owner.onMessage(other, message));
+            enqueue(() -> other.owner.onMessage(other, message));
             return true;
         }
 
-        /** Bytes arrive in order; those of a cut connection wait, as TCP sends them again, until an end gives up. */
-        private void pass(Runnable event) {
-            underWay.add(event);
-            if (underWay.size() == 1) {
-                time.schedule(DELAY_NANOS, this::arrive);
+        /**
+         * Messages arrive in order; those of a partitioned connection are delayed, as by TCP retransmission, until one
+         * end closes it.
+         */
+        private void enqueue(Runnable event) {
+            inFlight.add(event);
+            if (inFlight.size() == 1) {
+                time.schedule(DELAY_NANOS, this::deliverNext);
             }
         }
 
-        private void arrive() {
-            if (member.dead || !other.open) {
-                underWay.clear();
+        private void deliverNext() {
+            if (member.killed || !other.open) {
+                inFlight.clear();
                 return;
             }
             if (member.unreachable(control())) {
-                time.schedule(RESEND_NANOS, this::arrive);
+                time.schedule(RESEND_NANOS, this::deliverNext);
                 return;
             }
-            underWay.poll().run();
-            if (!underWay.isEmpty()) {
-                time.schedule(0, this::arrive);
+            inFlight.poll().run();
+            if (!inFlight.isEmpty()) {
+                time.schedule(0, this::deliverNext);
             }
         }
 
@@ -328,11 +334,11 @@
             }
             open = false;
             time.schedule(0, () -> owner.onClose(this));
-            pass(other::close);
+            enqueue(other::close);
         }
     }
 
-    /** A process's own clock, faster or slower than control's. */
+    /** A process's own clock, faster or slower than that of control. */
     private final class DriftingTimers implements TimerService {
         private final double rate;
 
