--- a/library/src/main/java/org/copperspindle/consensus/AppendReplyMessage.java
+++ b/library/src/main/java/org/copperspindle/consensus/AppendReplyMessage.java
@@ -5,12 +5,13 @@
 import org.copperspindle.wire.MessageCodec;
 
 /**
- * Answers an {@link AppendRequestMessage}.
+ * Reply to an {@link AppendRequestMessage}.
  *
  * @param envelope addressing
- * @param matched  true if the entry before the first one was found
- * @param index    if matched, up to where this member holds the leader's log on its disk; else where to look next
- * @param sentAt   clock value of the request, as it came
+ * @param matched  true if the log holds the entry before the first one
+ * @param index    if matched, the index up to which this member holds the leader's log on its disk; else the index to
+ *                 try next
+ * @param sentAt   clock value of the request, returned unchanged
  */
 record AppendReplyMessage(Envelope envelope, boolean matched, long index, long sentAt) implements RaftMessage {
 
--- a/library/src/main/java/org/copperspindle/consensus/AppendRequestMessage.java
+++ b/library/src/main/java/org/copperspindle/consensus/AppendRequestMessage.java
@@ -7,13 +7,13 @@
 import org.copperspindle.wire.MessageCodec;
 
 /**
- * Carries entries of the leader, or none as a heartbeat.
+ * Sends entries from the leader; without entries it is a heartbeat.
  *
  * @param envelope  addressing
  * @param prevIndex index of the entry before the first one
  * @param prevTerm  term of that entry
  * @param commit    index up to which the leader has committed
- * @param sentAt    the leader's monotonic clock in nanoseconds, returned with the answer
+ * @param sentAt    the leader's monotonic clock in nanoseconds, returned in the reply
  * @param entries   consecutive entries
  */
 record AppendRequestMessage(
@@ -27,7 +27,7 @@
         entries = List.copyOf(entries);
         for (int i = 0; i < entries.size(); i++) {
             if (entries.get(i).index() != prevIndex + 1 + i) {
-                throw new IllegalArgumentException("entries do not follow each other");
+                throw new IllegalArgumentException("entries are not consecutive");
             }
         }
     }
--- a/library/src/main/java/org/copperspindle/consensus/AtomicFile.java
+++ b/library/src/main/java/org/copperspindle/consensus/AtomicFile.java
@@ -10,47 +10,47 @@
 import java.util.zip.CRC32C;
 
 /**
- * A checksummed file that is replaced as a whole: written aside, synced, renamed, then the folder is synced. A crash
- * leaves the old file or the new one.
+ * A checksummed file that is replaced as a whole: written to a temporary file, synced, renamed, and the folder is
+ * synced. A crash leaves either the old file or the new one.
  */
 final class AtomicFile {
 
-    static final String ASIDE_SUFFIX = ".part";
+    static final String TEMP_SUFFIX = ".part";
 
-    private static final int HEAD_BYTES = 2 * Integer.BYTES;
+    private static final int HEADER_BYTES = 2 * Integer.BYTES;
 
     private AtomicFile() {}
 
     static void write(Path path, byte[] content) throws IOException {
-        Path aside = path.resolveSibling(path.getFileName() + ASIDE_SUFFIX);
-        ByteBuffer out = ByteBuffer.allocate(HEAD_BYTES + content.length);
+        Path temp = path.resolveSibling(path.getFileName() + TEMP_SUFFIX);
+        ByteBuffer out = ByteBuffer.allocate(HEADER_BYTES + content.length);
         out.putInt(content.length).putInt(checksum(content)).put(content).flip();
         try (FileChannel channel = FileChannel.open(
-                aside, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE)) {
+                temp, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE)) {
             while (out.hasRemaining()) {
                 channel.write(out);
             }
             channel.force(true);
         }
-        Files.move(aside, path, StandardCopyOption.ATOMIC_MOVE);
+        Files.move(temp, path, StandardCopyOption.ATOMIC_MOVE);
         syncFolder(path.getParent());
     }
 
     static byte[] read(Path path) throws IOException {
         ByteBuffer in = ByteBuffer.wrap(Files.readAllBytes(path));
-        if (in.remaining() < HEAD_BYTES || in.getInt() != in.capacity() - HEAD_BYTES) {
+        if (in.remaining() < HEADER_BYTES || in.getInt() != in.capacity() - HEADER_BYTES) {
             throw new CorruptLogException(path, 0, "wrong length");
         }
         int expected = in.getInt();
         byte[] content = new byte[in.remaining()];
         in.get(content);
         if (checksum(content) != expected) {
-            throw new CorruptLogException(path, HEAD_BYTES, "wrong checksum");
+            throw new CorruptLogException(path, HEADER_BYTES, "wrong checksum");
         }
         return content;
     }
 
-    /** Syncs a folder, so that files created, renamed or deleted in it stay so. */
+    /** Syncs a folder, so that files created, renamed or deleted in it survive a crash. */
     static void syncFolder(Path folder) throws IOException {
         try (FileChannel channel = FileChannel.open(folder, StandardOpenOption.READ)) {
             channel.force(true);
--- a/library/src/main/java/org/copperspindle/consensus/ConsensusLog.java
+++ b/library/src/main/java/org/copperspindle/consensus/ConsensusLog.java
@@ -28,13 +28,13 @@
 
 /**
  * The replicated log of a group of control members: runs a {@link RaftNode} on the decision ring, its disk work on a
- * thread of its own, its messages over the wire transport. All methods but those of {@link PeerListener} and
+ * separate thread, and its messages over the wire transport. All methods except those of {@link PeerListener} and
  * {@link #close} run on the decision ring.
  */
 public final class ConsensusLog implements ReplicatedLog, PeerListener {
 
     private static final Logger LOGGER = LogManager.getLogger(ConsensusLog.class);
-    private static final int SILENT_ELECTIONS = 3;
+    private static final int SILENT_ELECTION_TIMEOUTS = 3;
 
     private final DecisionRing ring;
     private final TimerService timers;
@@ -59,8 +59,8 @@
         this.timers = timers;
         this.state = state;
         this.settings = settings;
-        long silence = SILENT_ELECTIONS * settings.timing().electionNanos();
-        this.links = new MemberLinks(ring, timers, transport, silence, this::answered);
+        long silence = SILENT_ELECTION_TIMEOUTS * settings.timing().electionNanos();
+        this.links = new MemberLinks(ring, timers, transport, silence, this::receiveReply);
         SplittableRandom random = new SplittableRandom(recovered.hardState().identity());
         this.node = new RaftNode(settings, recovered, random, timers.nanoTime());
         this.disk = new DiskWorker(
@@ -75,9 +75,9 @@
      * Opens the log and reads its folder.
      *
      * @param ring      ring that owns the log
-     * @param timers    time
+     * @param timers    timer service
      * @param transport network
-     * @param state     what the log drives
+     * @param state     state to which the log applies commands
      * @param settings  settings of the member
      * @return the log, to be started with {@link #start}
      * @throws CorruptLogException if synced records are damaged or missing; names the file and the offset
@@ -109,8 +109,8 @@
             return new ConsensusLog(ring, timers, transport, state, settings.raft(limits), folder, recovered);
         } catch (IOException | RuntimeException e) {
             LOGGER.error("event=log-refused member={} reason=\"{}\"", settings.name(), e.toString());
-            // Its lock would keep every later attempt out, also after a fault that the file system tells by an
-            // unchecked one.
+            // Without this the lock would block every later attempt, also after a fault that the file system reports by
+            // an unchecked exception.
             folder.close();
             throw e;
         }
@@ -130,7 +130,7 @@
                 SnapshotChunkMessage.CODEC,
                 SnapshotReplyMessage.CODEC,
                 JoinRequestMessage.CODEC,
-                FoundGroupMessage.CODEC);
+                BootstrapGroupMessage.CODEC);
     }
 
     /**
@@ -147,10 +147,10 @@
                 SnapshotChunkMessage.class,
                 SnapshotReplyMessage.class,
                 JoinRequestMessage.class,
-                FoundGroupMessage.class);
+                BootstrapGroupMessage.class);
     }
 
-    /** Starts to take part in the group. */
+    /** Starts to participate in the group. */
     public void start() {
         if (stopped) {
             return;
@@ -172,7 +172,7 @@
 
     @Override
     public Optional<String> leaderAddress() {
-        return stopped ? Optional.empty() : node.leader().map(Member::operators);
+        return stopped ? Optional.empty() : node.leader().map(Member::operatorAddress);
     }
 
     @Override
@@ -189,7 +189,7 @@
     public void propose(byte[] command, Consumer<ProposalResult> callback) {
         OptionalLong index = stopped ? OptionalLong.empty() : node.propose(command, timers.nanoTime());
         if (index.isEmpty()) {
-            // Nothing was appended or sent, and nobody keeps the command: it never will be committed.
+            // Nothing was appended or sent, and no member keeps the command: it will never be committed.
             callback.accept(new ProposalResult.NotTaken(leaderAddress().orElse("")));
             return;
         }
@@ -198,7 +198,7 @@
     }
 
     /**
-     * Removes a member for good, for example one whose VM will not come back.
+     * Removes a member permanently, for example one whose VM will not come back.
      *
      * @param name its name
      * @return false if this member doesn't lead, the other is unknown, or the group would lose its quorum
@@ -239,25 +239,28 @@
     @Override
     public void close() {
         stopped = true;
-        ring.execute(this::end);
+        ring.execute(this::shutDown);
         disk.close();
     }
 
-    private boolean answered(Peer peer, WireMessage message) {
+    private boolean receiveReply(Peer peer, WireMessage message) {
         return ring.offer(() -> {
-            links.answered(peer);
+            links.markReplied(peer);
             step(() -> node.receive(message, timers.nanoTime()));
         });
     }
 
     private void receive(Peer peer, WireMessage message) {
         if (message instanceof RaftMessage raft) {
-            links.requested(raft.envelope().address(), peer);
+            links.recordIncoming(raft.envelope().address(), peer);
         }
         step(() -> node.receive(message, timers.nanoTime()));
     }
 
-    /** Feeds the core and carries out what it decides; a callback that proposes in between is served in its turn. */
+    /**
+     * Passes an input to the core and executes the actions that it returns. If a callback proposes meanwhile, the outer
+     * call executes the resulting actions.
+     */
     private void step(Runnable input) {
         if (stopped) {
             return;
@@ -271,19 +274,20 @@
             try {
                 List<RaftAction> actions = node.drain();
                 while (!actions.isEmpty()) {
-                    actions.forEach(this::carryOut);
+                    actions.forEach(this::executeAction);
                     actions = node.drain();
                 }
             } finally {
                 running = false;
             }
         } catch (RuntimeException e) {
-            // The state may have taken half a step: a member that went on could answer from what no other member has.
+            // The state may be half updated: if the member continued, it could answer from a state that no other member
+            // has.
             fail("member-failed", e);
         }
     }
 
-    private void carryOut(RaftAction action) {
+    private void executeAction(RaftAction action) {
         if (action instanceof RaftAction.Send send) {
             links.send(send.address(), send.message());
         } else if (action instanceof RaftAction.Persist persist) {
@@ -295,7 +299,7 @@
         } else if (action instanceof RaftAction.TakeSnapshot take) {
             node.snapshotTaken(new LogSnapshot(take.index(), take.term(), take.membership(), state.snapshot()));
         } else {
-            settleUnknown();
+            completePendingAsUnknown();
         }
     }
 
@@ -308,12 +312,12 @@
     }
 
     private void restore(LogSnapshot snapshot) {
-        if (snapshot.index() > LogSnapshot.FOUNDING_INDEX) {
+        if (snapshot.index() > LogSnapshot.BOOTSTRAP_INDEX) {
             state.restore(snapshot.data());
         }
     }
 
-    private void settleUnknown() {
+    private void completePendingAsUnknown() {
         List<Consumer<ProposalResult>> open = new ArrayList<>(pending.values());
         pending.clear();
         open.forEach(callback -> callback.accept(new ProposalResult.Unknown()));
@@ -325,15 +329,15 @@
         }
         LOGGER.error("event={} member={} action=member-stopped", event, settings.name(), failure);
         stopped = true;
-        end();
+        shutDown();
         Thread closer = new Thread(disk::close, "disk-close-" + settings.name());
         closer.setDaemon(true);
         closer.start();
     }
 
-    private void end() {
+    private void shutDown() {
         links.close();
-        settleUnknown();
+        completePendingAsUnknown();
     }
 
     private static long newIdentity(SecureRandom random) {
--- a/library/src/main/java/org/copperspindle/consensus/ConsensusSettings.java
+++ b/library/src/main/java/org/copperspindle/consensus/ConsensusSettings.java
@@ -10,49 +10,57 @@
 /**
  * Settings of one member of the replicated log.
  *
- * @param group           name of the group, the same on all members
- * @param name            identity of this process
- * @param address         where other members reach this one
- * @param operators       where operators reach this one
- * @param roster          the voters that are wanted
- * @param wholeTexts      true if each entry replaces the state, so that few old ones are worth their memory
- * @param dataFolder      folder on a disk, used by this member alone
- * @param electionTimeout after which a silent leader is replaced; also bounds its lease
+ * @param group               name of the group, the same on all members
+ * @param name                identity of this process
+ * @param address             address at which other members reach this one
+ * @param operatorAddress     address at which operators reach this one
+ * @param voterSource         supplies the voters of the group
+ * @param entriesReplaceState true if each entry replaces the state, so that few old entries are worth their memory
+ * @param dataFolder          folder on a disk, used by this member alone
+ * @param electionTimeout     time after which an unresponsive leader is replaced; also bounds its lease
  */
 public record ConsensusSettings(
         String group,
         String name,
         InetSocketAddress address,
-        InetSocketAddress operators,
-        VoterSource roster,
-        boolean wholeTexts,
+        InetSocketAddress operatorAddress,
+        VoterSource voterSource,
+        boolean entriesReplaceState,
         Path dataFolder,
         Duration electionTimeout) {
 
     /**
-     * Settings of a member of a group whose voters the operator names.
+     * Creates the settings of a member of a group whose voters the operator configures.
      *
      * @param group           name of the group, the same on all members
      * @param name            identity of this process
-     * @param address         where other members reach this one
-     * @param operators       where operators reach this one
-     * @param voters          the voters that are wanted, in the same order on all members; may name this one
+     * @param address         address at which other members reach this one
+     * @param operatorAddress address at which operators reach this one
+     * @param voters          the voters of the group, in the same order on all members; may include this one
      * @param dataFolder      folder on a disk, used by this member alone
-     * @param electionTimeout after which a silent leader is replaced; also bounds its lease
+     * @param electionTimeout time after which an unresponsive leader is replaced; also bounds its lease
      */
     public ConsensusSettings(
             String group,
             String name,
             InetSocketAddress address,
-            InetSocketAddress operators,
+            InetSocketAddress operatorAddress,
             List<VoterAddress> voters,
             Path dataFolder,
             Duration electionTimeout) {
-        this(group, name, address, operators, VoterSource.fixedVoters(voters), false, dataFolder, electionTimeout);
+        this(
+                group,
+                name,
+                address,
+                operatorAddress,
+                VoterSource.fixedVoters(voters),
+                false,
+                dataFolder,
+                electionTimeout);
     }
 
     RaftLimits limits() {
-        return wholeTexts ? RaftLimits.WHOLE_TEXTS : RaftLimits.DEFAULT;
+        return entriesReplaceState ? RaftLimits.FULL_STATE_ENTRIES : RaftLimits.DEFAULT;
     }
 
     RaftSettings raft(RaftLimits limits) {
@@ -60,8 +68,8 @@
                 group,
                 name,
                 NumericAddress.format(address),
-                NumericAddress.format(operators),
-                roster,
+                NumericAddress.format(operatorAddress),
+                voterSource,
                 RaftTiming.of(electionTimeout),
                 limits);
     }
--- a/library/src/main/java/org/copperspindle/consensus/CorruptLogException.java
+++ b/library/src/main/java/org/copperspindle/consensus/CorruptLogException.java
@@ -4,8 +4,8 @@
 import java.nio.file.Path;
 
 /**
- * What a member finds on its disk is not what it synced there. The member must not start: what it has promised may be
- * lost with the damaged bytes.
+ * Thrown if the data on a member's disk is not what it synced there. The member must not start, since votes and entries
+ * that it has acknowledged may be lost with the damaged bytes.
  */
 public final class CorruptLogException extends IOException {
 
--- a/library/src/main/java/org/copperspindle/consensus/DiskWorker.java
+++ b/library/src/main/java/org/copperspindle/consensus/DiskWorker.java
@@ -12,8 +12,8 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * The disk thread. Takes all requests that wait, writes them, syncs once and reports the last one. After one failure it
- * does nothing more: what a failed sync left on the disk is unknown, and a second sync that succeeds proves nothing.
+ * Runs the disk thread. It takes all waiting requests, writes them, syncs once and reports the last one. After a
+ * failure it stops: what a failed sync left on the disk is unknown, and a later sync that succeeds proves nothing.
  */
 final class DiskWorker implements AutoCloseable {
 
@@ -32,8 +32,8 @@
      *
      * @param name        name of the member
      * @param folder      its folder, recovered
-     * @param onPersisted told the sequence of the last request synced, on the disk thread
-     * @param onFailure   told once that the disk failed, on the disk thread
+     * @param onPersisted called on the disk thread with the sequence of the last synced request
+     * @param onFailure   called once, on the disk thread, if the disk fails
      */
     DiskWorker(String name, MemberFolder folder, LongConsumer onPersisted, Consumer<Exception> onFailure) {
         this.folder = folder;
@@ -44,7 +44,7 @@
         this.thread.start();
     }
 
-    /** Adds a request; the core bounds how much may be under way. */
+    /** Adds a request; the core bounds how many are pending. */
     void add(RaftAction.Persist request) {
         queue.add(request);
     }
@@ -64,7 +64,7 @@
     private void run() {
         try {
             while (!closing) {
-                carryOut();
+                executeBatch();
             }
         } catch (IOException | RuntimeException e) {
             onFailure.accept(e);
@@ -75,7 +75,7 @@
         }
     }
 
-    private void carryOut() throws IOException, InterruptedException {
+    private void executeBatch() throws IOException, InterruptedException {
         List<RaftAction.Persist> batch = new ArrayList<>();
         batch.add(queue.take());
         queue.drainTo(batch);
--- a/library/src/main/java/org/copperspindle/consensus/Election.java
+++ b/library/src/main/java/org/copperspindle/consensus/Election.java
@@ -8,92 +8,100 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Pre-votes, votes and when to stand.
+ * Pre-votes, votes, and the decision when to start an election.
  *
- * <p>A member that has just started doesn't know what it promised a leader, and gives no vote for an election timeout. After a loss
- * of power of all that would be in vain: no leader is left to whom anything was promised. A candidate to whom all voters say
- * that they have heard no leader since they started therefore stands at once. A leader that still held a lease would be one of the
- * voters, or have been heard by one whose vote the candidate needs.
+ * <p>A member that has just started doesn't know which leader lease it supported before, and gives no vote for an
+ * election timeout. After a power loss of all members that wait would be useless, as there is no leader left whose
+ * lease could be running. A candidate to which all voters reply that they have heard no leader since they started
+ * therefore starts an election at once. A leader that still held a lease would be one of the voters, or would have been
+ * heard by a voter whose vote the candidate needs.
  */
 final class Election {
 
     private static final Logger LOGGER = LogManager.getLogger(Election.class);
 
-    /** Part of an election timeout after which a member that has just started asks the others, drawn up to twice that. */
-    private static final double FIRST_QUESTION = 0.1;
+    /**
+     * Fraction of an election timeout after which a member that has just started polls the others; the delay is drawn
+     * between this and twice as much.
+     */
+    private static final double FIRST_POLL_FRACTION = 0.1;
 
-    /** The same for each further question: the votes of one that stands meanwhile have arrived by then. */
-    private static final double NEXT_QUESTION = 0.3;
+    /** The same for each further poll; by then the votes for another candidate have arrived. */
+    private static final double NEXT_POLL_FRACTION = 0.3;
 
     private final RaftState state;
     private final SplittableRandom random;
     private final Set<Long> granted = new HashSet<>();
     private final Set<Long> fresh = new HashSet<>();
     private long deadline;
-    private long freshDeadline;
+    private long freshPollDeadline;
     private long selfVote;
 
     Election(RaftState state, SplittableRandom random, long now) {
         this.state = state;
         this.random = random;
         postpone(now);
-        freshDeadline = now + freshPause(FIRST_QUESTION);
+        freshPollDeadline = now + freshPollDelay(FIRST_POLL_FRACTION);
     }
 
-    /** Called when a leader was heard. */
+    /** Called when a message of a leader was received. */
     void postpone(long now) {
         long election = state.settings().timing().electionNanos();
         deadline = now + election + random.nextLong(election);
     }
 
     /**
-     * Stands for election if it is time.
+     * Starts a pre-vote or an election if it is time.
      *
      * @return true if the member has been elected
      */
     boolean tick(long now) {
         boolean due = now - deadline >= 0 || isIdleSoleVoter();
-        boolean asksFresh = state.isFresh() && now - freshDeadline >= 0;
-        if (state.role() == RaftRole.LEADER || !due && !asksFresh) {
+        boolean pollsFresh = state.isFresh() && now - freshPollDeadline >= 0;
+        if (state.role() == RaftRole.LEADER || !due && !pollsFresh) {
             return false;
         }
         if (due) {
             postpone(now);
         }
-        freshDeadline = now + freshPause(NEXT_QUESTION);
+        freshPollDeadline = now + freshPollDelay(NEXT_POLL_FRACTION);
         if (!state.membership().hasVoter(state.identity())) {
             return false;
         }
         granted.clear();
         granted.add(state.identity());
         fresh.clear();
-        // A member that was cut off must not raise its term alone: back again, it would depose a leader that works.
+        // A partitioned member must not raise its term alone: after the partition it would depose a working leader.
         state.become(RaftRole.PRE_CANDIDATE, 0);
         if (hasQuorum()) {
-            return stand(false);
+            return startElection(false);
         }
-        askVoters(true, state.term() + 1, false);
+        requestVotes(true, state.term() + 1, false);
         return false;
     }
 
-    /** Returns true if a vote that was waiting for the disk makes the member the leader. */
+    /**
+     * Called when requests to the disk are synced; returns true if this member becomes the leader, because its own vote
+     * was waiting for the disk.
+     */
     boolean persisted(long now) {
-        return elected() || isIdleSoleVoter() && tick(now);
+        return hasWon() || isIdleSoleVoter() && tick(now);
     }
 
-    /** Answers a request; {@code now} is the voter's clock. */
+    /** Replies to a vote request; {@code now} is the voter's clock. */
     void receive(VoteRequestMessage request, long now) {
-        boolean bound = now - state.heardLeaderAt() < state.settings().timing().electionNanos();
-        boolean released = state.isFresh() && request.allFresh();
-        boolean hears = state.role() == RaftRole.LEADER || bound && !released;
-        // Both kinds are refused while a leader is heard. The leader's lease rests on that: it counts on its followers
-        // electing nobody else until their election timeout after its last heartbeat.
-        if (hears || request.envelope().term() < state.term()) {
+        boolean leaderRecent =
+                now - state.leaderSeenAt() < state.settings().timing().electionNanos();
+        boolean bothFresh = state.isFresh() && request.allFresh();
+        boolean leaderKnown = state.role() == RaftRole.LEADER || leaderRecent && !bothFresh;
+        // Votes and pre-votes are both refused while a leader is heard. The leader's lease relies on that: it assumes
+        // that its followers elect no other leader until their election timeout after its last heartbeat.
+        if (leaderKnown || request.envelope().term() < state.term()) {
             reply(request, false);
             return;
         }
         if (request.preVote()) {
-            reply(request, request.envelope().term() > state.term() && upToDate(request));
+            reply(request, request.envelope().term() > state.term() && isUpToDate(request));
             return;
         }
         if (request.envelope().term() > state.term()) {
@@ -101,7 +109,7 @@
         }
         long candidate = request.envelope().from();
         boolean free = state.hard().votedFor() == 0 || state.hard().votedFor() == candidate;
-        boolean vote = free && upToDate(request);
+        boolean vote = free && isUpToDate(request);
         if (vote && state.hard().votedFor() == 0) {
             state.saveHard(state.hard().withVote(state.term(), candidate));
             postpone(now);
@@ -110,7 +118,7 @@
     }
 
     /**
-     * Counts an answer.
+     * Counts a vote reply.
      *
      * @return true if the member has been elected
      */
@@ -128,12 +136,12 @@
             fresh.add(reply.envelope().from());
         }
         if (!reply.preVote()) {
-            return elected();
+            return hasWon();
         }
         if (hasQuorum()) {
-            return stand(false);
+            return startElection(false);
         }
-        return areAllFresh() && stand(true);
+        return areAllFresh() && startElection(true);
     }
 
     private boolean areAllFresh() {
@@ -143,10 +151,11 @@
                         .allMatch(voter -> voter == state.identity() || fresh.contains(voter));
     }
 
-    private boolean stand(boolean allFresh) {
+    private boolean startElection(boolean allFresh) {
         long term = state.term() + 1;
         granted.clear();
-        // Own vote on the disk first: a crash must not let this member vote for another in the same term.
+        // The own vote must be on the disk first: after a crash this member must not vote for another one in the same
+        // term.
         selfVote = state.saveHard(state.hard().withVote(term, state.identity()));
         state.become(RaftRole.CANDIDATE, 0);
         LOGGER.info(
@@ -154,11 +163,11 @@
                 state.settings().name(),
                 term,
                 allFresh);
-        askVoters(false, term, allFresh);
-        return elected();
+        requestVotes(false, term, allFresh);
+        return hasWon();
     }
 
-    private boolean elected() {
+    private boolean hasWon() {
         if (state.role() != RaftRole.CANDIDATE || !state.isDurable(selfVote)) {
             return false;
         }
@@ -166,7 +175,7 @@
         return hasQuorum();
     }
 
-    /** With nobody else to promise anything to, there is nothing to wait for. */
+    /** A sole voter has supported no other leader, so it need not wait. */
     boolean isIdleSoleVoter() {
         return state.role() == RaftRole.FOLLOWER
                 && state.membership().voters().size() == 1
@@ -177,21 +186,21 @@
         return state.membership().isQuorum(granted::contains);
     }
 
-    private long freshPause(double part) {
-        long least = (long) (part * state.settings().timing().electionNanos());
-        return least + random.nextLong(least);
+    private long freshPollDelay(double part) {
+        long minDelay = (long) (part * state.settings().timing().electionNanos());
+        return minDelay + random.nextLong(minDelay);
     }
 
-    private void askVoters(boolean preVote, long term, boolean allFresh) {
+    private void requestVotes(boolean preVote, long term, boolean allFresh) {
         for (Member voter : state.membership().voters()) {
             if (voter.identity() == state.identity()) {
                 continue;
             }
             RaftMessage.Envelope own = state.envelope(voter.identity());
-            RaftMessage.Envelope asked =
+            RaftMessage.Envelope voteEnvelope =
                     new RaftMessage.Envelope(own.group(), own.from(), own.to(), term, own.address());
             VoteRequestMessage request = new VoteRequestMessage(
-                    asked, preVote, state.log().lastIndex(), state.log().lastTerm(), allFresh);
+                    voteEnvelope, preVote, state.log().lastIndex(), state.log().lastTerm(), allFresh);
             if (preVote) {
                 state.send(voter, request);
             } else {
@@ -200,7 +209,7 @@
         }
     }
 
-    private boolean upToDate(VoteRequestMessage request) {
+    private boolean isUpToDate(VoteRequestMessage request) {
         long ownTerm = state.log().lastTerm();
         return request.lastTerm() > ownTerm
                 || request.lastTerm() == ownTerm
@@ -209,12 +218,12 @@
 
     private void reply(VoteRequestMessage request, boolean vote) {
         VoteReplyMessage reply = new VoteReplyMessage(
-                state.answer(request.envelope()),
+                state.replyEnvelope(request.envelope()),
                 request.preVote(),
                 request.envelope().term(),
                 vote,
-                state.isFresh() && request.envelope().term() > state.term() && upToDate(request));
-        // A vote is given once it is on the disk: a voter that forgot it in a crash could vote twice in one term.
-        state.sendAfter(state.hardSequence(), request.envelope().address(), reply);
+                state.isFresh() && request.envelope().term() > state.term() && isUpToDate(request));
+        // A vote is sent once it is on the disk: a voter that lost it in a crash could vote twice in one term.
+        state.sendAfter(state.hardStateSequence(), request.envelope().address(), reply);
     }
 }
--- a/library/src/main/java/org/copperspindle/consensus/EntryKind.java
+++ b/library/src/main/java/org/copperspindle/consensus/EntryKind.java
@@ -1,10 +1,10 @@
 package org.copperspindle.consensus;
 
 /**
- * What a log entry carries. The ordinal is stored: add at the end only.
+ * Kind of a log entry. The ordinal is stored, so constants may only be added at the end.
  */
 enum EntryKind {
-    /** Nothing; opens a leader's term. */
+    /** No content; the first entry of a leader's term. */
     NO_OP,
     /** A command for the replicated state. */
     COMMAND,
--- a/library/src/main/java/org/copperspindle/consensus/FollowerAppends.java
+++ b/library/src/main/java/org/copperspindle/consensus/FollowerAppends.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * The follower's side of replication.
+ * Handles append requests at a follower.
  */
 final class FollowerAppends {
 
@@ -13,33 +13,33 @@
         this.state = state;
     }
 
-    /** Takes a request of the leader of this term. */
+    /** Handles a request of the leader of this term. */
     void receive(AppendRequestMessage request) {
-        if (!holds(request.prevIndex(), request.prevTerm())) {
+        if (!matches(request.prevIndex(), request.prevTerm())) {
             long hint = Math.min(request.prevIndex() - 1, state.log().lastIndex());
-            // Everything committed is alike on both sides, so there is a match there at the latest.
+            // Committed entries are equal on both sides, so a match is found there at the latest.
             boolean behind = state.log().lastIndex() < request.prevIndex();
-            reply(request, false, behind ? hint : Math.min(hint, state.commit()), state.hardSequence());
+            reply(request, false, behind ? hint : Math.min(hint, state.commit()), state.hardStateSequence());
             return;
         }
-        take(request.entries());
-        long sequence = Math.max(state.persistTail(), state.hardSequence());
+        appendNew(request.entries());
+        long sequence = Math.max(state.persistTail(), state.hardStateSequence());
         long matched = request.prevIndex() + request.entries().size();
         state.commitTo(Math.min(request.commit(), matched));
         if (request.entries().isEmpty()) {
-            // A heartbeat is answered at once, also while the disk is busy, but vouches only for what is synced.
-            reply(request, true, Math.min(matched, state.durable()), state.hardSequence());
+            // A heartbeat is answered at once, even while the disk is busy, but acknowledges only what is synced.
+            reply(request, true, Math.min(matched, state.durable()), state.hardStateSequence());
         } else {
             reply(request, true, matched, sequence);
         }
         state.applyCommitted();
     }
 
-    private boolean holds(long index, long term) {
+    private boolean matches(long index, long term) {
         return index <= state.applied() || state.log().termAt(index) == term;
     }
 
-    private void take(List<LogEntry> entries) {
+    private void appendNew(List<LogEntry> entries) {
         for (LogEntry entry : entries) {
             if (entry.index() <= state.applied()) {
                 continue;
@@ -48,23 +48,24 @@
                 if (state.log().termAt(entry.index()) == entry.term()) {
                     continue;
                 }
-                dropConflict(entry.index());
+                truncateConflict(entry.index());
             }
             state.log().append(entry);
         }
     }
 
-    private void dropConflict(long index) {
+    private void truncateConflict(long index) {
         if (index <= state.commit()) {
-            // Can only be a fault of this program; going on would change what was promised.
-            throw new IllegalStateException("leader contradicts committed entry " + index);
+            // Only a bug in this program can cause this; continuing would change entries that were reported as
+            // committed.
+            throw new IllegalStateException("leader sent a conflicting entry for committed index " + index);
         }
         state.truncateFrom(index);
     }
 
     private void reply(AppendRequestMessage request, boolean matched, long index, long sequence) {
         AppendReplyMessage reply =
-                new AppendReplyMessage(state.answer(request.envelope()), matched, index, request.sentAt());
+                new AppendReplyMessage(state.replyEnvelope(request.envelope()), matched, index, request.sentAt());
         state.sendAfter(sequence, request.envelope().address(), reply);
     }
 }
--- a/library/src/main/java/org/copperspindle/consensus/GroupBootstrap.java
+++ b/library/src/main/java/org/copperspindle/consensus/GroupBootstrap.java
@@ -11,102 +11,102 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * The part of a member that holds nothing of any group: asks to join, or founds the group together with the other first
- * voters. A group is founded by the first-named voter only, and only once every other voter that the settings name has
- * said, to this very identity, that it holds nothing either. A member whose folder was emptied therefore founds nothing
- * as long as one other member still has its log.
+ * Startup of a member that belongs to no group: asks to join, or bootstraps a group with the other first voters. Only
+ * the first voter of the settings bootstraps, and only once every other configured voter has reported, to this
+ * identity, that it belongs to no group either. A member whose folder was emptied therefore never bootstraps a second
+ * group while one other member still has its log.
  */
-final class GroupFounder {
+final class GroupBootstrap {
 
-    private static final Logger LOGGER = LogManager.getLogger(GroupFounder.class);
+    private static final Logger LOGGER = LogManager.getLogger(GroupBootstrap.class);
 
     private final RaftState state;
-    private final Map<String, Heard> heard = new HashMap<>();
-    private long askedAt;
-    private boolean asked;
+    private final Map<String, ReceivedJoin> joinRequests = new HashMap<>();
+    private long joinRequestedAt;
+    private boolean joinRequested;
 
-    GroupFounder(RaftState state) {
+    GroupBootstrap(RaftState state) {
         this.state = state;
     }
 
     void tick(long now) {
         RaftSettings settings = state.settings();
-        if (asked && now - askedAt < settings.timing().resendNanos()) {
+        if (joinRequested && now - joinRequestedAt < settings.timing().resendNanos()) {
             return;
         }
-        asked = true;
-        askedAt = now;
+        joinRequested = true;
+        joinRequestedAt = now;
         JoinRequestMessage request = new JoinRequestMessage(
                 settings.groupName(),
                 settings.voterNames(),
-                founderHeard(),
+                knownBootstrapper(),
                 settings.self(state.identity()).encode());
         settings.others().forEach(other -> state.send(other.address(), request));
-        if (isFounder() && settings.voters().size() == 1) {
-            foundIfAllAreFresh(now);
+        if (isBootstrapper() && settings.voters().size() == 1) {
+            bootstrapIfAllAreEmpty(now);
         }
     }
 
-    /** Hears of another member that holds nothing. */
-    void receive(JoinRequestMessage request, Member from, long now) {
+    /** Handles the join request of another empty member. */
+    void receive(JoinRequestMessage request, Member sender, long now) {
         if (!request.voters().equals(state.settings().voterNames())) {
-            // Members that are found as they come agree after a moment; names from settings never will by themselves.
+            // Discovered voter lists become equal after a short time; configured ones never do by themselves.
             LOGGER.log(
-                    state.settings().roster().isDynamic() ? Level.DEBUG : Level.ERROR,
+                    state.settings().voterSource().isDynamic() ? Level.DEBUG : Level.ERROR,
                     "event=voters-differ member={} peer={} own={} theirs={}",
                     state.settings().name(),
-                    from.name(),
+                    sender.name(),
                     state.settings().voterNames(),
                     request.voters());
             return;
         }
-        heard.put(from.name(), new Heard(from, request.founder(), now));
-        if (isFounder()) {
-            foundIfAllAreFresh(now);
+        joinRequests.put(sender.name(), new ReceivedJoin(sender, request.bootstrapper(), now));
+        if (isBootstrapper()) {
+            bootstrapIfAllAreEmpty(now);
         }
     }
 
-    /** Takes part in a group that another member founded with this one. */
-    void receive(FoundGroupMessage message) {
+    /** Joins a group that another member bootstrapped with this one. */
+    void receive(BootstrapGroupMessage message) {
         Membership membership = Membership.decode(message.membership());
         if (!membership.hasVoter(state.identity())) {
             LOGGER.warn("event=founding-ignored member={}", state.settings().name());
             return;
         }
-        begin(membership, message.group());
+        initialize(membership, message.group());
     }
 
-    private void foundIfAllAreFresh(long now) {
+    private void bootstrapIfAllAreEmpty(long now) {
         long within = 2 * state.settings().timing().resendNanos();
         List<Member> others = new ArrayList<>();
         for (RaftSettings.Voter voter : state.settings().others()) {
-            Optional<Heard> known = Optional.ofNullable(heard.get(voter.name()))
-                    .filter(h -> h.founder() == state.identity() && now - h.at() < within);
+            Optional<ReceivedJoin> known = Optional.ofNullable(joinRequests.get(voter.name()))
+                    .filter(h -> h.bootstrapper() == state.identity() && now - h.at() < within);
             if (known.isEmpty()) {
                 return;
             }
             others.add(known.get().member());
         }
-        found(others);
+        bootstrap(others);
     }
 
-    private void found(List<Member> others) {
+    private void bootstrap(List<Member> others) {
         Membership membership =
                 Membership.EMPTY.with(state.settings().self(state.identity()).withVoter(true));
         for (Member other : others) {
             membership = membership.with(other.withVoter(true));
         }
         LOGGER.info("event=group-founded member={} voters={}", state.settings().name(), membership);
-        begin(membership, state.identity());
+        initialize(membership, state.identity());
     }
 
-    private void begin(Membership membership, long group) {
-        state.install(LogSnapshot.founding(membership));
-        state.saveHard(state.hard().withGroup(group).withVote(LogSnapshot.FOUNDING_TERM, 0));
+    private void initialize(Membership membership, long group) {
+        state.install(LogSnapshot.bootstrap(membership));
+        state.saveHard(state.hard().withGroup(group).withVote(LogSnapshot.BOOTSTRAP_TERM, 0));
     }
 
-    private boolean isFounder() {
-        return state.settings().roster().mayBootstrap()
+    private boolean isBootstrapper() {
+        return state.settings().voterSource().mayBootstrap()
                 && firstVoter().filter(state.settings().name()::equals).isPresent();
     }
 
@@ -114,15 +114,15 @@
         return state.settings().voters().stream().findFirst().map(RaftSettings.Voter::name);
     }
 
-    private long founderHeard() {
-        if (isFounder()) {
+    private long knownBootstrapper() {
+        if (isBootstrapper()) {
             return state.identity();
         }
         return firstVoter()
-                .flatMap(name -> Optional.ofNullable(heard.get(name)))
-                .map(founder -> founder.member().identity())
+                .flatMap(name -> Optional.ofNullable(joinRequests.get(name)))
+                .map(bootstrapper -> bootstrapper.member().identity())
                 .orElse(0L);
     }
 
-    private record Heard(Member member, long founder, long at) {}
+    private record ReceivedJoin(Member member, long bootstrapper, long at) {}
 }
--- a/library/src/main/java/org/copperspindle/consensus/HardState.java
+++ b/library/src/main/java/org/copperspindle/consensus/HardState.java
@@ -6,11 +6,11 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * What a member must not forget besides its log.
+ * State that a member must keep across restarts, besides its log.
  *
  * @param identity identity of the data folder
  * @param name     name of the process that first used the folder
- * @param group    identity of the group, 0 while the member holds nothing of any group
+ * @param group    identity of the group, 0 while the member belongs to none
  * @param term     newest term seen
  * @param votedFor identity voted for in that term, 0 if none
  */
@@ -19,7 +19,7 @@
     static final MessageCodec<HardState> CODEC =
             MessageCodec.of(63, HardState.class, HardState::write, HardState::read);
 
-    static HardState fresh(long identity, String name) {
+    static HardState initial(long identity, String name) {
         return new HardState(identity, name, 0, 0, 0);
     }
 
--- a/library/src/main/java/org/copperspindle/consensus/JoinRequestMessage.java
+++ b/library/src/main/java/org/copperspindle/consensus/JoinRequestMessage.java
@@ -6,20 +6,20 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * Sent by a member that holds nothing of any group, to all members that its settings name.
+ * Request to join, sent by a member that belongs to no group to all members that its settings name.
  *
- * @param groupName name of the group in the sender's settings
- * @param voters    names of the first voters in the sender's settings, in order, separated by commas
- * @param founder   identity of the first-named voter as the sender last heard it, 0 if never
- * @param member    the encoded sender, as a learner
+ * @param groupName    name of the group in the sender's settings
+ * @param voters       names of the first voters in the sender's settings, in order, separated by commas
+ * @param bootstrapper identity of the first configured voter as last received by the sender, 0 if never
+ * @param member       the encoded sender, as a learner
  */
-record JoinRequestMessage(String groupName, String voters, long founder, byte[] member) implements WireMessage {
+record JoinRequestMessage(String groupName, String voters, long bootstrapper, byte[] member) implements WireMessage {
 
     static final MessageCodec<JoinRequestMessage> CODEC =
             MessageCodec.of(70, JoinRequestMessage.class, JoinRequestMessage::write, JoinRequestMessage::read);
 
     private void write(FieldWriter out) {
-        out.put(1, groupName).put(2, voters).put(3, founder).put(4, member);
+        out.put(1, groupName).put(2, voters).put(3, bootstrapper).put(4, member);
     }
 
     private static JoinRequestMessage read(FieldReader in) {
--- a/library/src/main/java/org/copperspindle/consensus/LogEntry.java
+++ b/library/src/main/java/org/copperspindle/consensus/LogEntry.java
@@ -6,16 +6,16 @@
  * One entry of the replicated log.
  *
  * @param index position, counted from 1
- * @param term  term of the leader that made it
- * @param kind  what it carries
- * @param body  its bytes; never changed
+ * @param term  term of the leader that created it
+ * @param kind  kind of its content
+ * @param body  its content; never modified
  */
 record LogEntry(long index, long term, EntryKind kind, byte[] body) {
 
-    private static final int HEAD_BYTES = Long.BYTES + Long.BYTES + 1;
+    private static final int HEADER_BYTES = Long.BYTES + Long.BYTES + 1;
 
     int size() {
-        return HEAD_BYTES + body.length;
+        return HEADER_BYTES + body.length;
     }
 
     byte[] encode() {
@@ -28,7 +28,7 @@
     }
 
     static LogEntry decode(byte[] bytes) {
-        if (bytes.length < HEAD_BYTES) {
+        if (bytes.length < HEADER_BYTES) {
             throw new IllegalArgumentException("entry too short");
         }
         ByteBuffer in = ByteBuffer.wrap(bytes);
--- a/library/src/main/java/org/copperspindle/consensus/LogFile.java
+++ b/library/src/main/java/org/copperspindle/consensus/LogFile.java
@@ -8,7 +8,7 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * An open segment file. An interface so that tests can let the disk fail.
+ * An open segment file. An interface, so that tests can simulate disk failures.
  */
 interface LogFile extends Closeable {
 
@@ -18,7 +18,7 @@
     /** Syncs everything appended so far. */
     void force() throws IOException;
 
-    /** Cuts the file off and syncs that. */
+    /** Truncates the file and syncs that. */
     void truncate(long size) throws IOException;
 
     /** Opens files. */
--- a/library/src/main/java/org/copperspindle/consensus/LogSnapshot.java
+++ b/library/src/main/java/org/copperspindle/consensus/LogSnapshot.java
@@ -7,24 +7,24 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * The replicated state after one entry, standing in for that entry and all before it. A group begins with the snapshot
- * at index {@link #FOUNDING_INDEX}, which names its first voters and carries no state.
+ * The replicated state after one entry, which replaces that entry and all before it. A group starts with the snapshot
+ * at index {@link #BOOTSTRAP_INDEX}, which has the first voters and no state.
  *
  * @param index      index of the last entry that it covers
  * @param term       term of that entry
- * @param membership members in force there
- * @param data       what the state's snapshot gave; empty at the founding
+ * @param membership members in force at that entry
+ * @param data       snapshot of the state; empty at the bootstrap
  */
 record LogSnapshot(long index, long term, Membership membership, byte[] data) implements WireMessage {
 
-    static final long FOUNDING_INDEX = 1;
-    static final long FOUNDING_TERM = 1;
+    static final long BOOTSTRAP_INDEX = 1;
+    static final long BOOTSTRAP_TERM = 1;
 
     static final MessageCodec<LogSnapshot> CODEC =
             MessageCodec.of(62, LogSnapshot.class, LogSnapshot::write, LogSnapshot::read);
 
-    static LogSnapshot founding(Membership membership) {
-        return new LogSnapshot(FOUNDING_INDEX, FOUNDING_TERM, membership, new byte[0]);
+    static LogSnapshot bootstrap(Membership membership) {
+        return new LogSnapshot(BOOTSTRAP_INDEX, BOOTSTRAP_TERM, membership, new byte[0]);
     }
 
     byte[] encode() {
--- a/library/src/main/java/org/copperspindle/consensus/Member.java
+++ b/library/src/main/java/org/copperspindle/consensus/Member.java
@@ -7,20 +7,22 @@
 
 /**
  * One member of the group. The identity belongs to the data folder, not to the process: a member whose disk was lost
- * has a new one, so that nothing it promised before can be counted for what it holds now.
+ * gets a new one, so that votes and acknowledgements given under the old one are not counted for data that it no longer
+ * has.
  *
- * @param identity  random number drawn when the data folder was first used; never 0
- * @param name      name of the process, from its settings
- * @param address   IP:PORT of the system's own protocol
- * @param operators IP:PORT for operators
- * @param voter     true if it votes, false for a learner
+ * @param identity        random number drawn when the data folder was first used; never 0
+ * @param name            name of the process, from its settings
+ * @param address         IP:PORT of the internal protocol
+ * @param operatorAddress IP:PORT for operators
+ * @param voter           true if it votes, false for a learner
  */
-record Member(long identity, String name, String address, String operators, boolean voter) implements WireMessage {
+record Member(long identity, String name, String address, String operatorAddress, boolean voter)
+        implements WireMessage {
 
     static final MessageCodec<Member> CODEC = MessageCodec.of(60, Member.class, Member::write, Member::read);
 
     Member withVoter(boolean votes) {
-        return new Member(identity, name, address, operators, votes);
+        return new Member(identity, name, address, operatorAddress, votes);
     }
 
     byte[] encode() {
@@ -32,7 +34,11 @@
     }
 
     private void write(FieldWriter out) {
-        out.put(1, identity).put(2, name).put(3, address).put(4, operators).put(5, voter);
+        out.put(1, identity)
+                .put(2, name)
+                .put(3, address)
+                .put(4, operatorAddress)
+                .put(5, voter);
     }
 
     private static Member read(FieldReader in) {
--- a/library/src/main/java/org/copperspindle/consensus/MemberFolder.java
+++ b/library/src/main/java/org/copperspindle/consensus/MemberFolder.java
@@ -20,8 +20,8 @@
 import org.copperspindle.wire.MalformedFrameException;
 
 /**
- * The data folder of a member: hard state with the identity, snapshots and log. Opened once by {@link #recover}, then
- * owned by the disk thread.
+ * The data folder of a member, with the hard state including the identity, snapshots and the log. Opened once by
+ * {@link #recover}, then owned by the disk thread.
  */
 final class MemberFolder implements AutoCloseable {
 
@@ -44,7 +44,7 @@
      *
      * @param name       name of the member from its settings
      * @param identities source of identities
-     * @return what the member must not have forgotten
+     * @return the recovered state
      * @throws CorruptLogException if something that was synced is damaged or missing
      * @throws IOException         if the disk fails or another process uses the folder
      */
@@ -54,14 +54,14 @@
         deleteUnfinished();
         Path statePath = folder.resolve(HARD_STATE);
         if (!Files.exists(statePath)) {
-            return begin(name, identities);
+            return initialize(name, identities);
         }
         HardState state = readState(statePath);
         if (!state.name().equals(name)) {
             throw new IOException("folder " + folder + " belongs to member " + state.name() + ", not to " + name);
         }
         if (state.group() == 0) {
-            // Whatever a first snapshot left here was not answered for: the group is noted after it.
+            // A first snapshot left here was never acknowledged, since the group is written after it.
             deleteLog();
             return new RecoveredState(state, Optional.empty(), List.of());
         }
@@ -77,13 +77,13 @@
         return new RecoveredState(state, Optional.of(snapshot), entries);
     }
 
-    /** Carries requests out and syncs them; none may be answered before this returns. */
+    /** Executes requests and syncs them; none may be acknowledged before this returns. */
     void execute(List<PersistRequest> requests) throws IOException {
         for (PersistRequest request : requests) {
             if (request instanceof PersistRequest.AppendEntries append) {
                 log.append(append.entries());
             } else if (request instanceof PersistRequest.SaveHardState save) {
-                // Entries first: a vote tells of a log that must be there with it.
+                // Entries first: a vote relies on the log that must be on the disk with it.
                 log.force();
                 AtomicFile.write(folder.resolve(HARD_STATE), HardState.CODEC.encode(save.state()));
             } else if (request instanceof PersistRequest.SaveSnapshot save) {
@@ -102,15 +102,15 @@
         }
     }
 
-    private RecoveredState begin(String name, LongSupplier identities) throws IOException {
+    private RecoveredState initialize(String name, LongSupplier identities) throws IOException {
         try (Stream<Path> files = Files.list(folder)) {
-            Optional<Path> foreign =
+            Optional<Path> existing =
                     files.filter(p -> !p.getFileName().toString().equals(LOCK)).findFirst();
-            if (foreign.isPresent()) {
-                throw new CorruptLogException(foreign.get(), 0, "log without its identity");
+            if (existing.isPresent()) {
+                throw new CorruptLogException(existing.get(), 0, "log without its identity");
             }
         }
-        HardState state = HardState.fresh(identities.getAsLong(), name);
+        HardState state = HardState.initial(identities.getAsLong(), name);
         AtomicFile.write(folder.resolve(HARD_STATE), HardState.CODEC.encode(state));
         LOGGER.info("event=identity-created member={} identity={}", name, Long.toHexString(state.identity()));
         return new RecoveredState(state, Optional.empty(), List.of());
@@ -172,23 +172,23 @@
         }
         if (lock == null) {
             lockFile.close();
-            // Two processes under one identity would promise things that the other doesn't know of.
+            // Two processes under one identity would give votes and acknowledgements that the other doesn't know.
             throw new IOException("folder " + folder + " is in use by another process");
         }
     }
 
     private void deleteUnfinished() throws IOException {
-        deleteAll(p -> p.getFileName().toString().endsWith(AtomicFile.ASIDE_SUFFIX));
+        deleteAll(p -> p.getFileName().toString().endsWith(AtomicFile.TEMP_SUFFIX));
     }
 
     private void deleteLog() throws IOException {
         deleteAll(p -> Segment.isSegment(p) || p.getFileName().toString().startsWith(SNAPSHOT_PREFIX));
     }
 
-    private void deleteAll(Predicate<Path> which) throws IOException {
+    private void deleteAll(Predicate<Path> condition) throws IOException {
         List<Path> found = new ArrayList<>();
         try (Stream<Path> files = Files.list(folder)) {
-            files.filter(which).forEach(found::add);
+            files.filter(condition).forEach(found::add);
         }
         for (Path path : found) {
             Files.delete(path);
--- a/library/src/main/java/org/copperspindle/consensus/MemberLinks.java
+++ b/library/src/main/java/org/copperspindle/consensus/MemberLinks.java
@@ -17,12 +17,12 @@
 import org.copperspindle.wire.WireTransport;
 
 /**
- * One outgoing connection to each other member. Loses messages rather than holding them: the protocol sends again.
- * Called on the decision ring only.
+ * One outgoing connection to each other member. Messages that can't be sent are dropped rather than queued without
+ * bound, since the protocol sends them again. Called on the decision ring only.
  */
 final class MemberLinks {
 
-    private static final int MAX_WAITING = 16;
+    private static final int MAX_QUEUED = 16;
     private static final int MAX_INCOMING = 64;
 
     private final DecisionRing ring;
@@ -38,10 +38,10 @@
      * Creates the links.
      *
      * @param ring         ring that owns them
-     * @param timers       time
+     * @param timers       timer service
      * @param transport    network
-     * @param silenceNanos a connection on which nothing came back for so long is opened anew
-     * @param receiver     takes the answers that come back
+     * @param silenceNanos time without any reply after which a connection is replaced
+     * @param receiver     receives the replies
      */
     MemberLinks(
             DecisionRing ring,
@@ -60,33 +60,33 @@
         if (closed) {
             return;
         }
-        // An answer goes back where its request came from, so that each connection shows whether it works.
-        Peer asked = isAnswer(message) ? incoming.get(address) : null;
-        if (asked != null && asked.send(message)) {
+        // A reply uses the connection of its request, so that each connection shows whether it works.
+        Peer requester = isReply(message) ? incoming.get(address) : null;
+        if (requester != null && requester.send(message)) {
             return;
         }
         links.computeIfAbsent(address, Link::new).send(message);
     }
 
-    /** Notes on which connection a member sends its requests. */
-    void requested(String address, Peer peer) {
+    /** Records the connection on which a member sends its requests. */
+    void recordIncoming(String address, Peer peer) {
         if (incoming.size() < MAX_INCOMING || incoming.containsKey(address)) {
             incoming.put(address, peer);
         }
     }
 
-    /** Notes that something came back on a connection of these links. */
-    void answered(Peer peer) {
-        links.values().stream().filter(link -> link.peer == peer).forEach(link -> link.awaiting = false);
+    /** Records that a reply arrived on one of these connections. */
+    void markReplied(Peer peer) {
+        links.values().stream().filter(link -> link.peer == peer).forEach(link -> link.awaitingReply = false);
     }
 
-    private static boolean isAnswer(WireMessage message) {
+    private static boolean isReply(WireMessage message) {
         return message instanceof AppendReplyMessage
                 || message instanceof VoteReplyMessage
                 || message instanceof SnapshotReplyMessage;
     }
 
-    /** Drops connections that lead nowhere. */
+    /** Drops connections without replies. */
     void tick() {
         links.values().forEach(Link::dropIfSilent);
     }
@@ -99,11 +99,11 @@
     /** The connection to one member. */
     private final class Link implements PeerListener {
         private final String address;
-        private final Deque<WireMessage> waiting = new ArrayDeque<>();
+        private final Deque<WireMessage> queued = new ArrayDeque<>();
         private Peer peer;
         private CompletableFuture<Channel> connecting;
         private long sentAt;
-        private boolean awaiting;
+        private boolean awaitingReply;
 
         private Link(String address) {
             this.address = address;
@@ -111,8 +111,8 @@
 
         private void send(WireMessage message) {
             if (peer != null) {
-                if (!awaiting) {
-                    awaiting = true;
+                if (!awaitingReply) {
+                    awaitingReply = true;
                     sentAt = timers.nanoTime();
                 }
                 if (peer.isWritable()) {
@@ -120,13 +120,13 @@
                 }
                 return;
             }
-            if (waiting.size() == MAX_WAITING) {
-                waiting.pollFirst();
+            if (queued.size() == MAX_QUEUED) {
+                queued.pollFirst();
             }
-            waiting.addLast(message);
+            queued.addLast(message);
             if (connecting == null) {
                 sentAt = timers.nanoTime();
-                awaiting = true;
+                awaitingReply = true;
                 connect();
             }
         }
@@ -148,19 +148,19 @@
         }
 
         /**
-         * After a partition, or with a VM that vanished, TCP may hold a connection for minutes on which nothing arrives;
-         * the member would be taken for lost long after it is back. Requests sent without any answer on the same
-         * connection show that; a new connection goes through at once.
+         * After a partition, or when a VM disappeared, TCP may keep a dead connection open for minutes, and the member
+         * would be considered lost long after it is back. Requests without any reply on the same connection show that;
+         * a new connection works at once.
          */
         private void dropIfSilent() {
-            if (awaiting && timers.nanoTime() - sentAt > silenceNanos) {
+            if (awaitingReply && timers.nanoTime() - sentAt > silenceNanos) {
                 drop();
             }
         }
 
         private void drop() {
-            awaiting = false;
-            waiting.clear();
+            awaitingReply = false;
+            queued.clear();
             if (peer != null) {
                 peer.close();
                 peer = null;
@@ -176,8 +176,8 @@
             return ring.offer(() -> {
                 peer = opened;
                 sentAt = timers.nanoTime();
-                waiting.forEach(opened::send);
-                waiting.clear();
+                queued.forEach(opened::send);
+                queued.clear();
             });
         }
 
@@ -187,9 +187,9 @@
         }
 
         @Override
-        public boolean onClose(Peer ended) {
+        public boolean onClose(Peer closedPeer) {
             return ring.offer(() -> {
-                if (peer == ended) {
+                if (peer == closedPeer) {
                     peer = null;
                     connecting = null;
                 }
--- a/library/src/main/java/org/copperspindle/consensus/Membership.java
+++ b/library/src/main/java/org/copperspindle/consensus/Membership.java
@@ -12,7 +12,7 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * The members of the group. In force from the moment it stands in a member's log, committed or not.
+ * The members of the group. A membership is in force as soon as it is in a member's log, committed or not.
  *
  * @param members voters and learners
  */
--- a/library/src/main/java/org/copperspindle/consensus/MembershipChanges.java
+++ b/library/src/main/java/org/copperspindle/consensus/MembershipChanges.java
@@ -9,8 +9,9 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * The leader's steps of membership: admits learners, replaces a voter that lost its disk, promotes. One step at a time,
- * each committed before the next, so that the quorums of two memberships that follow each other always share a member.
+ * Membership changes at the leader: admits learners, replaces a voter that lost its disk, and promotes learners. Each
+ * change is committed before the next one starts, so that the quorums of two consecutive memberships always share a
+ * member.
  */
 final class MembershipChanges {
 
@@ -18,8 +19,8 @@
     private static final int MAX_JOINERS = 8;
     private static final int MAX_MEMBERS = 12;
 
-    /** A voter silent for so many election timeouts may be replaced by its successor of the same name. */
-    private static final int SILENT_ELECTIONS = 3;
+    /** Election timeouts without a reply after which a voter may be replaced by its successor of the same name. */
+    private static final int SILENT_ELECTION_TIMEOUTS = 3;
 
     private final RaftState state;
     private final Replication replication;
@@ -31,56 +32,57 @@
         this.replication = replication;
     }
 
-    /** Begins a term of leadership: what an earlier one had counted for a learner is counted anew. */
+    /** Starts a term of leadership: the progress of learners from an earlier term is not counted. */
     void start() {
         admittedAt.clear();
     }
 
-    /** Hears of a member that holds nothing. */
+    /** Registers a member that asks to join. */
     void receive(Member joiner, long now) {
         if (joiners.size() < MAX_JOINERS || joiners.containsKey(joiner.identity())) {
             joiners.put(joiner.identity(), new Joiner(joiner, now));
         }
     }
 
-    /** Takes the next step, if there is one. */
+    /** Starts the next change, if there is one. */
     void tick(long now) {
-        long recent = SILENT_ELECTIONS * state.settings().timing().electionNanos();
+        long maxAge = SILENT_ELECTION_TIMEOUTS * state.settings().timing().electionNanos();
         joiners.values()
-                .removeIf(j -> now - j.at() > recent
+                .removeIf(j -> now - j.at() > maxAge
                         || state.membership().find(j.member().identity()).isPresent());
-        if (underWay()) {
+        if (isChangePending()) {
             return;
         }
         Optional<Membership> next = admit();
         if (next.isEmpty()) {
             next = repair(now);
         }
-        if (next.isEmpty() && state.settings().roster().isDynamic()) {
+        if (next.isEmpty() && state.settings().voterSource().isDynamic()) {
             next = removeSilent(now);
         }
         next.ifPresent(membership -> propose(membership, now));
     }
 
     /**
-     * Removes a member for good.
+     * Removes a member permanently.
      *
-     * @return false if it is unknown, is the leader itself, is needed for the quorum, or another step is under way
+     * @return false if it is unknown, is the leader itself, is needed for the quorum, or another change is in progress
      */
     boolean remove(String name, long now) {
         Optional<Member> member = state.membership().members().stream()
                 .filter(m -> m.name().equals(name) && m.identity() != state.identity())
                 .findFirst();
-        if (member.isEmpty() || underWay() || !survives(member.get(), now)) {
+        if (member.isEmpty() || isChangePending() || !keepsQuorum(member.get(), now)) {
             return false;
         }
         propose(state.membership().without(member.get().identity()), now);
         return true;
     }
 
-    private boolean underWay() {
-        // A new leader changes nothing before an entry of its own term is committed: two leaders in turn could else
-        // each take a step from the same membership, and two steps away quorums need not meet.
+    private boolean isChangePending() {
+        // A new leader changes nothing before an entry of its own term is committed. Otherwise two leaders in turn
+        // could each change the same membership, and the quorums of memberships that are two changes apart need not
+        // share a member.
         return !replication.termCommitted() || state.log().membershipIndex() > state.commit();
     }
 
@@ -89,11 +91,11 @@
             return Optional.empty();
         }
         Member joiner = joiners.values().iterator().next().member();
-        Optional<Member> older = state.membership().members().stream()
+        Optional<Member> predecessor = state.membership().members().stream()
                 .filter(m -> !m.voter() && m.name().equals(joiner.name()))
                 .findFirst();
-        if (older.isPresent()) {
-            return Optional.of(state.membership().without(older.get().identity()));
+        if (predecessor.isPresent()) {
+            return Optional.of(state.membership().without(predecessor.get().identity()));
         }
         LOGGER.info("event=learner-admitted member={} identity={}", joiner.name(), Long.toHexString(joiner.identity()));
         return Optional.of(state.membership().with(joiner.withVoter(false)));
@@ -104,14 +106,14 @@
             if (learner.voter() || !holdsAllCommittedAtAdmission(learner)) {
                 continue;
             }
-            Optional<Member> older = state.membership().voters().stream()
+            Optional<Member> predecessor = state.membership().voters().stream()
                     .filter(m -> m.name().equals(learner.name()))
                     .findFirst();
-            if (older.isPresent() && maySucceed(older.get(), now)) {
-                LOGGER.info("event=voter-replaced member={}", older.get().name());
-                return Optional.of(state.membership().without(older.get().identity()));
+            if (predecessor.isPresent() && mayBeReplaced(predecessor.get(), now)) {
+                LOGGER.info("event=voter-replaced member={}", predecessor.get().name());
+                return Optional.of(state.membership().without(predecessor.get().identity()));
             }
-            if (older.isEmpty() && state.settings().admits(learner.name())) {
+            if (predecessor.isEmpty() && state.settings().mayBecomeVoter(learner.name())) {
                 LOGGER.info("event=voter-promoted member={}", learner.name());
                 return Optional.of(state.membership().with(learner.withVoter(true)));
             }
@@ -120,16 +122,18 @@
     }
 
     /**
-     * Removes a voter that is gone, so that the next loss meets a whole group again. One that was only cut off or stopped
-     * asks to join when it is back.
+     * Removes a voter that no longer replies, so that the next loss hits a complete group again. One that was only
+     * partitioned or stopped asks to join when it is back.
      */
     private Optional<Membership> removeSilent(long now) {
-        long silent = SILENT_ELECTIONS * state.settings().timing().electionNanos();
-        if (state.membership().voters().size() <= state.settings().roster().minVoters()) {
+        long silent = SILENT_ELECTION_TIMEOUTS * state.settings().timing().electionNanos();
+        if (state.membership().voters().size() <= state.settings().voterSource().minVoters()) {
             return Optional.empty();
         }
         return state.membership().voters().stream()
-                .filter(m -> m.identity() != state.identity() && !replication.hears(m, now, silent) && survives(m, now))
+                .filter(m -> m.identity() != state.identity()
+                        && !replication.hasHeardFrom(m, now, silent)
+                        && keepsQuorum(m, now))
                 .findFirst()
                 .map(gone -> {
                     LOGGER.info("event=voter-removed member={} reason=silent", gone.name());
@@ -137,22 +141,27 @@
                 });
     }
 
-    /** A learner that voted before could help to elect a leader that lacks what only the lost disk still held. */
+    /**
+     * Returns whether a learner has caught up. One that voted earlier could help to elect a leader that lacks entries
+     * which only the lost disk still held.
+     */
     private boolean holdsAllCommittedAtAdmission(Member learner) {
         long needed = admittedAt.computeIfAbsent(learner.identity(), id -> state.commit());
         return replication.match(learner) >= needed;
     }
 
-    private boolean maySucceed(Member older, long now) {
-        long silent = SILENT_ELECTIONS * state.settings().timing().electionNanos();
-        return older.identity() != state.identity() && !replication.hears(older, now, silent) && survives(older, now);
+    private boolean mayBeReplaced(Member predecessor, long now) {
+        long silent = SILENT_ELECTION_TIMEOUTS * state.settings().timing().electionNanos();
+        return predecessor.identity() != state.identity()
+                && !replication.hasHeardFrom(predecessor, now, silent)
+                && keepsQuorum(predecessor, now);
     }
 
-    private boolean survives(Member removed, long now) {
+    private boolean keepsQuorum(Member removed, long now) {
         Membership left = state.membership().without(removed.identity());
         long within = state.settings().timing().electionNanos();
         return !left.voters().isEmpty()
-                && left.isQuorum(id -> replication.hears(left.find(id).orElseThrow(), now, within));
+                && left.isQuorum(id -> replication.hasHeardFrom(left.find(id).orElseThrow(), now, within));
     }
 
     private void propose(Membership next, long now) {
--- a/library/src/main/java/org/copperspindle/consensus/PersistRequest.java
+++ b/library/src/main/java/org/copperspindle/consensus/PersistRequest.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * Work for the disk. Requests are carried out in order; one is answered once all its bytes are synced.
+ * A request to the disk. Requests are executed in order; one is acknowledged once all its bytes are synced.
  */
 sealed interface PersistRequest {
 
@@ -15,17 +15,17 @@
     record SaveHardState(HardState state) implements PersistRequest {}
 
     /**
-     * Appends entries, after cutting off whatever the log holds from the first one's index on.
+     * Appends entries, after truncating the log from the index of the first one on.
      *
      * @param entries consecutive entries, at least one
      */
     record AppendEntries(List<LogEntry> entries) implements PersistRequest {}
 
     /**
-     * Saves a snapshot and drops the segments that it covers.
+     * Saves a snapshot and deletes the segments that it covers.
      *
      * @param snapshot the snapshot
-     * @param reset    true to drop the whole log, because the snapshot came from the leader
+     * @param reset    true to delete the whole log, because the snapshot came from the leader
      */
     record SaveSnapshot(LogSnapshot snapshot, boolean reset) implements PersistRequest {}
 }
--- a/library/src/main/java/org/copperspindle/consensus/Progress.java
+++ b/library/src/main/java/org/copperspindle/consensus/Progress.java
@@ -4,7 +4,7 @@
 import java.util.Deque;
 
 /**
- * What the leader knows of one other member.
+ * Replication progress of one other member, as the leader knows it.
  */
 final class Progress {
 
@@ -13,17 +13,17 @@
     private final Deque<Long> inFlight = new ArrayDeque<>();
     private long match;
     private long next;
-    private long heardAt;
-    private long answeredSentAt = NEVER;
-    private long movedAt;
+    private long lastReplyAt;
+    private long ackedRequestSentAt = NEVER;
+    private long advancedAt;
 
     Progress(long next, long now) {
         this.next = next;
-        this.heardAt = now;
-        this.movedAt = now;
+        this.lastReplyAt = now;
+        this.advancedAt = now;
     }
 
-    /** Returns up to where the member holds the leader's log on its disk. */
+    /** Returns the index up to which the member holds the leader's log on its disk. */
     long match() {
         return match;
     }
@@ -32,13 +32,13 @@
         return next;
     }
 
-    long heardAt() {
-        return heardAt;
+    long lastReplyAt() {
+        return lastReplyAt;
     }
 
-    /** Returns when the newest request that the member answered was sent, on the leader's clock. */
-    long answeredSentAt() {
-        return answeredSentAt;
+    /** Returns when the newest request to which the member replied was sent, on the leader's clock. */
+    long ackedRequestSentAt() {
+        return ackedRequestSentAt;
     }
 
     int inFlight() {
@@ -47,21 +47,21 @@
 
     void sent(long last, long now) {
         if (inFlight.isEmpty()) {
-            movedAt = now;
+            advancedAt = now;
         }
         inFlight.addLast(last);
         next = last + 1;
     }
 
-    void answered(long sentAt, long now) {
-        heardAt = now;
-        answeredSentAt = Math.max(answeredSentAt, sentAt);
+    void replied(long sentAt, long now) {
+        lastReplyAt = now;
+        ackedRequestSentAt = Math.max(ackedRequestSentAt, sentAt);
     }
 
     void matched(long index, long now) {
         if (index > match) {
             match = index;
-            movedAt = now;
+            advancedAt = now;
         }
         next = Math.max(next, match + 1);
         while (!inFlight.isEmpty() && inFlight.peekFirst() <= match) {
@@ -69,17 +69,17 @@
         }
     }
 
-    void refused(long hint) {
+    void rejected(long hint) {
         inFlight.clear();
         next = Math.max(match + 1, Math.min(next, hint + 1));
     }
 
-    /** Gives up waiting for answers that are overdue, so that the entries are sent again. */
+    /** Discards overdue requests, so that their entries are sent again. */
     void resendIfOverdue(long now, long resendNanos) {
-        if (!inFlight.isEmpty() && now - movedAt >= resendNanos) {
+        if (!inFlight.isEmpty() && now - advancedAt >= resendNanos) {
             inFlight.clear();
             next = match + 1;
-            movedAt = now;
+            advancedAt = now;
         }
     }
 }
--- a/library/src/main/java/org/copperspindle/consensus/RaftAction.java
+++ b/library/src/main/java/org/copperspindle/consensus/RaftAction.java
@@ -3,7 +3,7 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * What {@link RaftNode} wants done. Actions are carried out in the order in which they were decided.
+ * An action requested by {@link RaftNode}. Actions are executed in the order in which they were requested.
  */
 sealed interface RaftAction {
 
@@ -16,9 +16,9 @@
     record Send(String address, WireMessage message) implements RaftAction {}
 
     /**
-     * Writes to the disk and calls {@link RaftNode#persisted} afterwards.
+     * Writes to the disk and then calls {@link RaftNode#persisted}.
      *
-     * @param sequence number of the request, larger for each
+     * @param sequence number of the request, increasing
      * @param request  what to write
      */
     record Persist(long sequence, PersistRequest request) implements RaftAction {}
@@ -31,21 +31,21 @@
     record Apply(LogEntry entry) implements RaftAction {}
 
     /**
-     * Replaces the state by a snapshot's.
+     * Replaces the state by that of a snapshot.
      *
      * @param snapshot the snapshot
      */
     record Restore(LogSnapshot snapshot) implements RaftAction {}
 
     /**
-     * Takes a snapshot of the state and hands it to {@link RaftNode#snapshotTaken}.
+     * Takes a snapshot of the state and passes it to {@link RaftNode#snapshotTaken}.
      *
      * @param index      last entry applied
      * @param term       its term
-     * @param membership members in force there
+     * @param membership members in force at that entry
      */
     record TakeSnapshot(long index, long term, Membership membership) implements RaftAction {}
 
-    /** The member leads no more: what it had proposed and not seen committed is in doubt. */
+    /** The member is no longer the leader: it is unknown whether proposals without a result will be committed. */
     record LeadershipLost() implements RaftAction {}
 }
--- a/library/src/main/java/org/copperspindle/consensus/RaftLog.java
+++ b/library/src/main/java/org/copperspindle/consensus/RaftLog.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 
 /**
- * The log in memory: the newest snapshot and the entries behind it, with a few before it for members that lag.
+ * The log in memory: the newest snapshot and the entries after it, with a few before it for members that lag.
  */
 final class RaftLog {
 
@@ -25,7 +25,7 @@
         return entries.isEmpty() ? baseTerm : entries.get(entries.size() - 1).term();
     }
 
-    /** Returns the index before the oldest entry held. */
+    /** Returns the index before the oldest entry in memory. */
     long baseIndex() {
         return baseIndex;
     }
@@ -40,7 +40,7 @@
                 : Optional.of(entries.get((int) (index - baseIndex - 1)));
     }
 
-    /** Returns the term of an entry, or -1 if it is not held. */
+    /** Returns the term of an entry, or -1 if the entry is not in memory. */
     long termAt(long index) {
         if (index == baseIndex) {
             return baseTerm;
@@ -48,7 +48,7 @@
         return entry(index).map(LogEntry::term).orElse(-1L);
     }
 
-    /** Returns the members that the newest entry names, committed or not. */
+    /** Returns the members of the newest membership entry, committed or not. */
     Membership membership() {
         return memberships.isEmpty() ? Membership.EMPTY : memberships.peekLast().membership();
     }
@@ -78,7 +78,7 @@
         }
     }
 
-    /** Returns consecutive entries from an index on, at least one if it is held, up to a number of bytes. */
+    /** Returns consecutive entries from an index on, up to a number of bytes; at least one if it is in memory. */
     List<LogEntry> from(long index, int maxBytes) {
         List<LogEntry> batch = new ArrayList<>();
         int bytes = 0;
@@ -100,7 +100,7 @@
         }
     }
 
-    /** Starts anew from a snapshot. */
+    /** Restarts the log from a snapshot. */
     void reset(LogSnapshot from) {
         entries.clear();
         memberships.clear();
@@ -110,7 +110,7 @@
         memberships.addLast(new Change(from.index(), from.membership()));
     }
 
-    /** Takes a snapshot of the member's own state and forgets entries far behind it. */
+    /** Sets a snapshot of the member's own state and drops entries far before it. */
     void compact(LogSnapshot taken, int kept) {
         snapshot = Optional.of(taken);
         long newBase = Math.max(baseIndex, taken.index() - kept);
--- a/library/src/main/java/org/copperspindle/consensus/RaftMessage.java
+++ b/library/src/main/java/org/copperspindle/consensus/RaftMessage.java
@@ -21,11 +21,11 @@
     /**
      * The addressing that every message between members carries.
      *
-     * @param group identity of the group
-     * @param from  identity of the sender
-     * @param to    identity of the addressee; a member with another identity at the same address takes nothing
-     * @param term  the sender's term, or the term that a pre-vote asks for
-     * @param address IP:PORT of the sender, as a member that joins doesn't know the others yet
+     * @param group   identity of the group
+     * @param from    identity of the sender
+     * @param to      identity of the receiver; a member with another identity at the same address ignores the message
+     * @param term    the sender's term, or the term that a pre-vote is for
+     * @param address IP:PORT of the sender, since a joining member doesn't know the others yet
      */
     record Envelope(long group, long from, long to, long term, String address) {
 
--- a/library/src/main/java/org/copperspindle/consensus/RaftNode.java
+++ b/library/src/main/java/org/copperspindle/consensus/RaftNode.java
@@ -10,14 +10,14 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * One member of a group as a pure state machine: messages, time and finished disk work come in, {@link RaftAction}s come
- * out of {@link #drain}. It reads no clock, opens no file and starts no thread; all times are readings of the member's
- * own monotonic clock in nanoseconds. Single-threaded.
+ * One member of a group as a deterministic state machine without I/O: messages, time and completed disk requests come
+ * in, {@link RaftAction}s come out of {@link #drain}. It reads no clock, opens no file and starts no thread; all times
+ * are readings of the member's own monotonic clock in nanoseconds. Single-threaded.
  */
 final class RaftNode {
 
-    /** A member that heard no leader for so many election timeouts asks whether it was removed. */
-    private static final int LOST_ELECTIONS = 3;
+    /** Election timeouts without a leader after which a member asks whether it was removed. */
+    private static final int LOST_ELECTION_TIMEOUTS = 3;
 
     private final RaftState state;
     private final Election election;
@@ -25,13 +25,13 @@
     private final SnapshotReceiver snapshotReceiver;
     private final Replication replication;
     private final MembershipChanges changes;
-    private final GroupFounder founder;
+    private final GroupBootstrap bootstrap;
     private final Deque<Proposal> proposals = new ArrayDeque<>();
     private long proposedBytes;
-    private Optional<LogSnapshot> saving = Optional.empty();
-    private long savingSequence;
-    private boolean snapshotAsked;
-    private long askedToJoinAt;
+    private Optional<LogSnapshot> pendingSnapshot = Optional.empty();
+    private long pendingSnapshotSequence;
+    private boolean snapshotPending;
+    private long rejoinRequestedAt;
 
     RaftNode(RaftSettings settings, RecoveredState recovered, SplittableRandom random, long now) {
         this.state = new RaftState(settings, recovered, now);
@@ -40,15 +40,15 @@
         this.snapshotReceiver = new SnapshotReceiver(state);
         this.replication = new Replication(state);
         this.changes = new MembershipChanges(state, replication);
-        this.founder = new GroupFounder(state);
+        this.bootstrap = new GroupBootstrap(state);
     }
 
-    /** Takes the actions decided since the last call. */
+    /** Returns the actions requested since the last call. */
     List<RaftAction> drain() {
-        if (state.appliedBytes() >= state.settings().limits().logBytes() && !snapshotAsked) {
-            snapshotAsked = true;
+        if (state.appliedBytes() >= state.settings().limits().logBytes() && !snapshotPending) {
+            snapshotPending = true;
             state.snapshotRequested();
-            state.act(new RaftAction.TakeSnapshot(
+            state.addAction(new RaftAction.TakeSnapshot(
                     state.applied(),
                     state.log().termAt(state.applied()),
                     state.log().membershipAt(state.applied())));
@@ -59,13 +59,13 @@
     /** To be called about twice per heartbeat. */
     void tick(long now) {
         if (state.hard().group() == 0) {
-            founder.tick(now);
+            bootstrap.tick(now);
             return;
         }
         if (election.tick(now)) {
-            lead(now);
+            becomeLeader(now);
         }
-        askToJoinAgain(now);
+        requestRejoin(now);
         if (state.role() == RaftRole.LEADER) {
             replication.tick(now);
         }
@@ -74,23 +74,23 @@
         }
     }
 
-    /** Takes a message of another member. */
+    /** Handles a message of another member. */
     void receive(WireMessage message, long now) {
         if (message instanceof RaftMessage raft) {
             receiveInGroup(raft, now);
         } else if (message instanceof JoinRequestMessage join) {
             receiveJoin(join, now);
-        } else if (message instanceof FoundGroupMessage found
+        } else if (message instanceof BootstrapGroupMessage found
                 && state.hard().group() == 0
                 && found.groupName().equals(state.settings().groupName())) {
-            founder.receive(found);
+            bootstrap.receive(found);
         }
     }
 
     /**
      * Proposes a command.
      *
-     * @return index of its entry; empty if it was not taken and never will be
+     * @return index of its entry; empty if it was not accepted and will never be committed
      */
     OptionalLong propose(byte[] command, long now) {
         while (!proposals.isEmpty() && proposals.peekFirst().index() <= state.commit()) {
@@ -108,14 +108,14 @@
         return OptionalLong.of(index);
     }
 
-    /** Called when a request to the disk and all before it are synced. */
+    /** Called when a request to the disk and all earlier ones are synced. */
     void persisted(long sequence, long now) {
         state.persisted(sequence);
-        if (saving.isPresent() && sequence >= savingSequence) {
-            compact(saving.get());
+        if (pendingSnapshot.isPresent() && sequence >= pendingSnapshotSequence) {
+            compact(pendingSnapshot.get());
         }
         if (election.persisted(now)) {
-            lead(now);
+            becomeLeader(now);
         }
         if (state.role() == RaftRole.LEADER) {
             replication.persisted(now);
@@ -124,10 +124,10 @@
         }
     }
 
-    /** Takes the snapshot that a {@link RaftAction.TakeSnapshot} asked for. */
+    /** Receives the snapshot that a {@link RaftAction.TakeSnapshot} requested. */
     void snapshotTaken(LogSnapshot snapshot) {
-        savingSequence = state.persist(new PersistRequest.SaveSnapshot(snapshot, false));
-        saving = Optional.of(snapshot);
+        pendingSnapshotSequence = state.persist(new PersistRequest.SaveSnapshot(snapshot, false));
+        pendingSnapshot = Optional.of(snapshot);
     }
 
     /** Removes a member; see {@link MembershipChanges#remove}. */
@@ -171,7 +171,7 @@
         return state.log();
     }
 
-    private void lead(long now) {
+    private void becomeLeader(long now) {
         proposals.clear();
         proposedBytes = 0;
         changes.start();
@@ -179,8 +179,8 @@
     }
 
     private void compact(LogSnapshot saved) {
-        saving = Optional.empty();
-        snapshotAsked = false;
+        pendingSnapshot = Optional.empty();
+        snapshotPending = false;
         boolean older =
                 state.log().snapshot().filter(s -> s.index() >= saved.index()).isPresent();
         if (!older) {
@@ -190,11 +190,11 @@
 
     private void receiveInGroup(RaftMessage message, long now) {
         RaftMessage.Envelope envelope = message.envelope();
-        boolean toJoiner = state.hard().group() == 0
+        boolean isForJoiner = state.hard().group() == 0
                 && (message instanceof AppendRequestMessage || message instanceof SnapshotChunkMessage);
         if (envelope.to() != state.identity()
-                || !toJoiner && envelope.group() != state.hard().group()) {
-            // For an earlier folder at this address, or from another group: what is said there is none of ours.
+                || !isForJoiner && envelope.group() != state.hard().group()) {
+            // The message is for an earlier data folder at this address, or from another group.
             return;
         }
         if (message instanceof VoteRequestMessage request) {
@@ -209,9 +209,9 @@
     private void receiveFromLeader(RaftMessage message, long now) {
         RaftMessage.Envelope envelope = message.envelope();
         if (envelope.term() < state.term()) {
-            // The answer's term tells the sender that it leads no more.
-            AppendReplyMessage stale = new AppendReplyMessage(state.answer(envelope), false, 0, 0);
-            state.sendAfter(state.hardSequence(), envelope.address(), stale);
+            // The term of the reply tells the sender that it is no longer the leader.
+            AppendReplyMessage stale = new AppendReplyMessage(state.replyEnvelope(envelope), false, 0, 0);
+            state.sendAfter(state.hardStateSequence(), envelope.address(), stale);
             return;
         }
         if (envelope.term() > state.term()) {
@@ -220,7 +220,7 @@
         if (state.role() == RaftRole.LEADER) {
             throw new IllegalStateException("two leaders in term " + state.term());
         }
-        state.heardLeader(envelope.from(), now);
+        state.onLeaderMessage(envelope.from(), now);
         election.postpone(now);
         if (message instanceof AppendRequestMessage append) {
             appends.receive(append);
@@ -236,7 +236,7 @@
         }
         if (message instanceof VoteReplyMessage vote) {
             if (election.receive(vote, now)) {
-                lead(now);
+                becomeLeader(now);
             }
             return;
         }
@@ -251,19 +251,19 @@
     }
 
     /**
-     * A member that was silent for long may have been removed while it could not hear of it: nobody sends it anything any
-     * more, and its pre-votes are refused. With its identity it keeps its log and its votes, so that it may come back
-     * under it.
+     * Asks to join again. A member that was unreachable for long may have been removed without learning of it: no
+     * member sends it anything any more, and its pre-votes are refused. It keeps its identity, and with it its log and
+     * votes, so that it may come back under it.
      */
-    private void askToJoinAgain(long now) {
+    private void requestRejoin(long now) {
         RaftTiming timing = state.settings().timing();
-        boolean lost = state.settings().roster().isDynamic()
+        boolean lostLeader = state.settings().voterSource().isDynamic()
                 && state.role() != RaftRole.LEADER
-                && now - state.heardLeaderAt() > LOST_ELECTIONS * timing.electionNanos();
-        if (!lost || now - askedToJoinAt < timing.electionNanos()) {
+                && now - state.leaderSeenAt() > LOST_ELECTION_TIMEOUTS * timing.electionNanos();
+        if (!lostLeader || now - rejoinRequestedAt < timing.electionNanos()) {
             return;
         }
-        askedToJoinAt = now;
+        rejoinRequestedAt = now;
         JoinRequestMessage request = new JoinRequestMessage(
                 state.settings().groupName(),
                 "",
@@ -278,20 +278,21 @@
             return;
         }
         if (state.hard().group() == 0) {
-            founder.receive(join, from, now);
+            bootstrap.receive(join, from, now);
             return;
         }
-        Optional<LogSnapshot> founding = state.log()
+        Optional<LogSnapshot> bootstrapSnapshot = state.log()
                 .snapshot()
-                .filter(s -> s.index() == LogSnapshot.FOUNDING_INDEX
+                .filter(s -> s.index() == LogSnapshot.BOOTSTRAP_INDEX
                         && s.membership().hasVoter(from.identity())
-                        // One that was removed since has its group and asks to come back.
+                        // A removed member belongs to the group already and asks to come back.
                         && state.membership().hasVoter(from.identity())
-                        && state.isDurable(state.hardSequence()));
-        if (founding.isPresent()) {
-            byte[] voters = founding.get().membership().encode();
+                        && state.isDurable(state.hardStateSequence()));
+        if (bootstrapSnapshot.isPresent()) {
+            byte[] voters = bootstrapSnapshot.get().membership().encode();
             state.send(
-                    from, new FoundGroupMessage(join.groupName(), state.hard().group(), voters));
+                    from,
+                    new BootstrapGroupMessage(join.groupName(), state.hard().group(), voters));
         } else if (state.role() == RaftRole.LEADER) {
             changes.receive(from, now);
         }
--- a/library/src/main/java/org/copperspindle/consensus/RaftRole.java
+++ b/library/src/main/java/org/copperspindle/consensus/RaftRole.java
@@ -1,12 +1,12 @@
 package org.copperspindle.consensus;
 
 /**
- * What a member does in its term.
+ * Role of a member in its term.
  */
 enum RaftRole {
     /** Follows a leader or waits for one. */
     FOLLOWER,
-    /** Asks whether it would be elected. */
+    /** Asks for pre-votes. */
     PRE_CANDIDATE,
     /** Stands for election. */
     CANDIDATE,
--- a/library/src/main/java/org/copperspindle/consensus/RaftSettings.java
+++ b/library/src/main/java/org/copperspindle/consensus/RaftSettings.java
@@ -6,24 +6,25 @@
 import org.copperspindle.wire.NumericAddress;
 
 /**
- * What a member knows from its settings.
+ * Settings of a member, as the consensus core uses them.
  *
- * @param groupName name of the group; a member of another group is not answered
- * @param name      name of this member
- * @param address   IP:PORT of its own protocol
- * @param operators IP:PORT for operators
- * @param known     voters that are wanted or known, in the same order on all members; the first one founds the group
- * @param roster    rules of membership
- * @param timing    time limits
- * @param limits    bounds
+ * @param groupName       name of the group; members of other groups are ignored
+ * @param name            name of this member
+ * @param address         IP:PORT of its internal protocol
+ * @param operatorAddress IP:PORT for operators
+ * @param knownVoters     voters that are configured or discovered, in the same order on all members; the first one
+ *                        bootstraps the group
+ * @param voterSource     rules of membership
+ * @param timing          time limits
+ * @param limits          bounds
  */
 record RaftSettings(
         String groupName,
         String name,
         String address,
-        String operators,
-        Supplier<List<Voter>> known,
-        VoterSource roster,
+        String operatorAddress,
+        Supplier<List<Voter>> knownVoters,
+        VoterSource voterSource,
         RaftTiming timing,
         RaftLimits limits) {
 
@@ -31,7 +32,7 @@
      * A voter that the settings name.
      *
      * @param name    its name
-     * @param address IP:PORT of its own protocol
+     * @param address IP:PORT of its internal protocol
      */
     record Voter(String name, String address) {}
 
@@ -39,35 +40,44 @@
             String groupName,
             String name,
             String address,
-            String operators,
-            VoterSource roster,
+            String operatorAddress,
+            VoterSource voterSource,
             RaftTiming timing,
             RaftLimits limits) {
-        this(groupName, name, address, operators, () -> voters(roster), roster, timing, limits);
+        this(groupName, name, address, operatorAddress, () -> voters(voterSource), voterSource, timing, limits);
     }
 
     RaftSettings(
             String groupName,
             String name,
             String address,
-            String operators,
+            String operatorAddress,
             List<Voter> voters,
             RaftTiming timing,
             RaftLimits limits) {
-        this(groupName, name, address, operators, () -> voters, VoterSource.fixedVoters(List.of()), timing, limits);
+        this(
+                groupName,
+                name,
+                address,
+                operatorAddress,
+                () -> voters,
+                VoterSource.fixedVoters(List.of()),
+                timing,
+                limits);
     }
 
     List<Voter> voters() {
-        return known.get();
+        return knownVoters.get();
     }
 
     Member self(long identity) {
-        return new Member(identity, name, address, operators, false);
+        return new Member(identity, name, address, operatorAddress, false);
     }
 
-    /** Says whether a learner of this name may become a voter. */
-    boolean admits(String wanted) {
-        return roster.isDynamic() || voters().stream().anyMatch(v -> v.name().equals(wanted));
+    /** Returns whether a learner of this name may become a voter. */
+    boolean mayBecomeVoter(String learner) {
+        return voterSource.isDynamic()
+                || voters().stream().anyMatch(v -> v.name().equals(learner));
     }
 
     List<Voter> others() {
@@ -78,8 +88,8 @@
         return String.join(",", voters().stream().map(Voter::name).toList());
     }
 
-    private static List<Voter> voters(VoterSource roster) {
-        return roster.voters().stream()
+    private static List<Voter> voters(VoterSource voterSource) {
+        return voterSource.voters().stream()
                 .map(v -> new Voter(v.name(), NumericAddress.format(v.address())))
                 .toList();
     }
--- a/library/src/main/java/org/copperspindle/consensus/RaftState.java
+++ b/library/src/main/java/org/copperspindle/consensus/RaftState.java
@@ -8,24 +8,24 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * What the parts of a {@link RaftNode} share: term, role, log, and what waits for the disk.
+ * State shared by the components of a {@link RaftNode}: term, role, log, and what waits for the disk.
  */
 final class RaftState {
 
     private final RaftSettings settings;
     private final RaftLog log = new RaftLog();
-    private final Deque<HeldMessage> held = new ArrayDeque<>();
+    private final Deque<DeferredMessage> deferred = new ArrayDeque<>();
     private final Deque<PendingAppend> appends = new ArrayDeque<>();
     private List<RaftAction> actions = new ArrayList<>();
     private HardState hard;
     private RaftRole role = RaftRole.FOLLOWER;
     private long leader;
-    private long heardLeaderAt;
+    private long leaderSeenAt;
     private boolean fresh = true;
     private long commit;
     private long applied;
     private long durable;
-    private long requestedTo;
+    private long requestedIndex;
     private long requested;
     private long completed;
     private long hardRequested;
@@ -34,9 +34,9 @@
     RaftState(RaftSettings settings, RecoveredState recovered, long now) {
         this.settings = settings;
         this.hard = recovered.hardState();
-        // A restarted member doesn't know what it promised a leader: it counts as having just heard one, so that it
-        // gives no vote while a lease that it helped to grant may still run.
-        this.heardLeaderAt = now;
+        // A restarted member doesn't know which leader it last heard: it behaves as if it had just heard one, and gives
+        // no vote while a lease that it supported may still be running.
+        this.leaderSeenAt = now;
         recovered.snapshot().ifPresent(s -> {
             log.reset(s);
             commit = s.index();
@@ -44,7 +44,7 @@
         });
         recovered.entries().forEach(log::append);
         durable = log.lastIndex();
-        requestedTo = durable;
+        requestedIndex = durable;
     }
 
     RaftSettings settings() {
@@ -79,11 +79,11 @@
         return leader;
     }
 
-    long heardLeaderAt() {
-        return heardLeaderAt;
+    long leaderSeenAt() {
+        return leaderSeenAt;
     }
 
-    /** Says whether the member has neither led nor heard a leader since its process started. */
+    /** Returns whether the member has neither led nor heard a leader since its process started. */
     boolean isFresh() {
         return fresh;
     }
@@ -105,15 +105,17 @@
         return completed >= sequence;
     }
 
-    /** Returns the newest request that holds the term, so that a reply in this term can wait for it. */
-    long hardSequence() {
+    /**
+     * Returns the sequence of the newest request that stores the term, so that a reply in this term can wait for it.
+     */
+    long hardStateSequence() {
         return hardRequested;
     }
 
     void become(RaftRole next, long knownLeader) {
         if (role == RaftRole.LEADER && next != RaftRole.LEADER) {
-            // What was only in memory goes to the disk before anything that is promised as a follower: a later leader
-            // may find these entries here and count them.
+            // Entries that are only in memory must be on the disk before anything is acknowledged as a follower: a
+            // later leader may find them here and count them.
             persistTail();
             actions.add(new RaftAction.LeadershipLost());
         }
@@ -122,14 +124,14 @@
         fresh = fresh && next != RaftRole.LEADER;
     }
 
-    /** Notes a valid message from the leader of this term. */
-    void heardLeader(long from, long now) {
+    /** Records a valid message from the leader of this term. */
+    void onLeaderMessage(long from, long now) {
         become(RaftRole.FOLLOWER, from);
-        heardLeaderAt = now;
+        leaderSeenAt = now;
         fresh = false;
     }
 
-    /** Goes on to a newer term as a follower. */
+    /** Adopts a newer term as a follower. */
     void adoptTerm(long term) {
         become(RaftRole.FOLLOWER, 0);
         saveHard(hard.withVote(term, 0));
@@ -147,26 +149,26 @@
         return requested;
     }
 
-    /** Sends the entries that are only in memory to the disk; returns the newest request. */
+    /** Writes the entries that are only in memory to the disk and returns the newest request. */
     long persistTail() {
-        if (requestedTo >= log.lastIndex()) {
+        if (requestedIndex >= log.lastIndex()) {
             return requested;
         }
-        long sequence = persist(new PersistRequest.AppendEntries(log.from(requestedTo + 1, Integer.MAX_VALUE)));
-        requestedTo = log.lastIndex();
-        appends.addLast(new PendingAppend(sequence, requestedTo));
+        long sequence = persist(new PersistRequest.AppendEntries(log.from(requestedIndex + 1, Integer.MAX_VALUE)));
+        requestedIndex = log.lastIndex();
+        appends.addLast(new PendingAppend(sequence, requestedIndex));
         return sequence;
     }
 
     void truncateFrom(long index) {
         log.truncateFrom(index);
         durable = Math.min(durable, index - 1);
-        requestedTo = Math.min(requestedTo, index - 1);
-        List<PendingAppend> cut = appends.stream()
+        requestedIndex = Math.min(requestedIndex, index - 1);
+        List<PendingAppend> truncated = appends.stream()
                 .map(a -> new PendingAppend(a.sequence(), Math.min(a.last(), index - 1)))
                 .toList();
         appends.clear();
-        appends.addAll(cut);
+        appends.addAll(truncated);
     }
 
     /** Replaces log and state by the leader's snapshot; durable once the returned request is. */
@@ -174,7 +176,7 @@
         log.reset(snapshot);
         appends.clear();
         durable = 0;
-        requestedTo = snapshot.index();
+        requestedIndex = snapshot.index();
         long sequence = persist(new PersistRequest.SaveSnapshot(snapshot, true));
         appends.addLast(new PendingAppend(sequence, snapshot.index()));
         commit = snapshot.index();
@@ -188,8 +190,8 @@
         while (!appends.isEmpty() && appends.peekFirst().sequence() <= completed) {
             durable = Math.max(durable, appends.pollFirst().last());
         }
-        while (!held.isEmpty() && held.peekFirst().sequence() <= completed) {
-            release(held.pollFirst());
+        while (!deferred.isEmpty() && deferred.peekFirst().sequence() <= completed) {
+            sendDeferred(deferred.pollFirst());
         }
     }
 
@@ -198,7 +200,8 @@
     }
 
     void applyCommitted() {
-        // Never ahead of the own disk: a snapshot of this state must not name entries that a crash could take back.
+        // Never apply entries that are not on the own disk: a snapshot of this state must not include entries that a
+        // crash could remove.
         long end = Math.min(commit, durable);
         while (applied < end) {
             applied++;
@@ -223,8 +226,8 @@
         return new RaftMessage.Envelope(hard.group(), identity(), to, hard.term(), settings.address());
     }
 
-    /** Addresses an answer. A member that belongs to no group yet answers in the group that it is asked from. */
-    RaftMessage.Envelope answer(RaftMessage.Envelope request) {
+    /** Returns the envelope of a reply. A member that belongs to no group yet replies in the group of the request. */
+    RaftMessage.Envelope replyEnvelope(RaftMessage.Envelope request) {
         return new RaftMessage.Envelope(request.group(), identity(), request.from(), hard.term(), settings.address());
     }
 
@@ -236,16 +239,16 @@
         actions.add(new RaftAction.Send(address, message));
     }
 
-    /** Sends a message once a request to the disk is done. */
+    /** Sends a message once a request to the disk is synced. */
     void sendAfter(long sequence, String address, RaftMessage message) {
         if (isDurable(sequence)) {
             send(address, message);
             return;
         }
-        held.addLast(new HeldMessage(sequence, address, message));
+        deferred.addLast(new DeferredMessage(sequence, address, message));
     }
 
-    void act(RaftAction action) {
+    void addAction(RaftAction action) {
         actions.add(action);
     }
 
@@ -255,14 +258,14 @@
         return drained;
     }
 
-    private void release(HeldMessage message) {
-        // What was to be said in an older term is not said any more; losing a message is always allowed.
+    private void sendDeferred(DeferredMessage message) {
+        // A message of an older term is dropped, which the protocol always allows.
         if (message.message().envelope().term() == hard.term()) {
             send(message.address(), message.message());
         }
     }
 
-    private record HeldMessage(long sequence, String address, RaftMessage message) {}
+    private record DeferredMessage(long sequence, String address, RaftMessage message) {}
 
     private record PendingAppend(long sequence, long last) {}
 }
--- a/library/src/main/java/org/copperspindle/consensus/Replication.java
+++ b/library/src/main/java/org/copperspindle/consensus/Replication.java
@@ -9,7 +9,8 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * The leader's side of replication: its own disk, the other members, commit, lease and the check of the quorum.
+ * Replication at the leader: its own disk, the other members, commit, leader lease, and the check that a quorum
+ * replies.
  */
 final class Replication {
 
@@ -27,13 +28,14 @@
         this.snapshots = new SnapshotSender(state);
     }
 
-    /** Begins a term of leadership. */
+    /** Starts a term of leadership. */
     void start(long now) {
         progress.clear();
         snapshots.clear();
         state.become(RaftRole.LEADER, state.identity());
         ownSequence = 0;
-        // Entries of older terms count as committed only under one of this term; without it they could yet be undone.
+        // Entries of older terms are committed only together with one of this term; without it another leader could
+        // still replace them.
         firstOfTerm = append(EntryKind.NO_OP, new byte[0], now);
         heartbeat(now);
         LOGGER.info("event=leader-elected member={} term={}", state.settings().name(), state.term());
@@ -47,9 +49,9 @@
         return index;
     }
 
-    /** Sends what can be sent: to the own disk and to all others. */
+    /** Sends what can be sent, to the own disk and to all other members. */
     void replicate(long now) {
-        persistOwn();
+        persistLocally();
         for (Member member : state.membership().members()) {
             if (member.identity() != state.identity()) {
                 replicate(member, now);
@@ -57,9 +59,9 @@
         }
     }
 
-    /** Called when a request to the disk is done. */
+    /** Called when a request to the disk is synced. */
     void persisted(long now) {
-        commitReached();
+        advanceCommit();
         replicate(now);
     }
 
@@ -70,7 +72,7 @@
             heartbeat(now);
         }
         replicate(now);
-        if (!hearsQuorum(now)) {
+        if (!hasHeardFromQuorum(now)) {
             LOGGER.warn(
                     "event=leader-stepped-down member={} term={} reason=no-quorum",
                     state.settings().name(),
@@ -84,13 +86,13 @@
         if (from.isEmpty()) {
             return;
         }
-        Progress of = of(from.get(), now);
-        of.answered(reply.sentAt(), now);
+        Progress to = progressOf(from.get(), now);
+        to.replied(reply.sentAt(), now);
         if (reply.matched()) {
-            of.matched(reply.index(), now);
-            commitReached();
+            to.matched(reply.index(), now);
+            advanceCommit();
         } else {
-            of.refused(reply.index());
+            to.rejected(reply.index());
         }
         replicate(from.get(), now);
     }
@@ -100,24 +102,24 @@
         if (from.isEmpty()) {
             return;
         }
-        Progress of = of(from.get(), now);
-        of.answered(reply.sentAt(), now);
+        Progress to = progressOf(from.get(), now);
+        to.replied(reply.sentAt(), now);
         if (snapshots.receive(from.get(), reply, now)) {
-            of.matched(reply.snapshotIndex(), now);
+            to.matched(reply.snapshotIndex(), now);
             replicate(from.get(), now);
         }
     }
 
-    /** Says whether the lease runs and the state holds everything that earlier leaders committed. */
+    /** Returns whether the leader lease is valid and the state has everything that earlier leaders committed. */
     boolean leads(long now) {
         if (state.role() != RaftRole.LEADER || state.applied() < firstOfTerm) {
             return false;
         }
-        long answered = state.membership().reachedByQuorum(m -> answeredSentAt(m, now));
+        long answered = state.membership().reachedByQuorum(m -> ackedRequestSentAt(m, now));
         return now - answered < state.settings().timing().leaseNanos();
     }
 
-    /** Returns how far the log may be changed by a step of membership: an entry of this term is committed. */
+    /** Returns whether an entry of this term is committed, which changes of membership require. */
     boolean termCommitted() {
         return state.commit() >= firstOfTerm;
     }
@@ -130,43 +132,46 @@
         return known == null ? 0 : known.match();
     }
 
-    /** Says whether a member has answered lately. */
-    boolean hears(Member member, long now, long withinNanos) {
-        return member.identity() == state.identity() || now - of(member, now).heardAt() < withinNanos;
+    /** Returns whether a member has replied recently. */
+    boolean hasHeardFrom(Member member, long now, long withinNanos) {
+        return member.identity() == state.identity()
+                || now - progressOf(member, now).lastReplyAt() < withinNanos;
     }
 
-    private boolean hearsQuorum(long now) {
+    private boolean hasHeardFromQuorum(long now) {
         long within = state.settings().timing().electionNanos();
         return state.membership()
-                .isQuorum(id -> hears(state.membership().find(id).orElseThrow(), now, within));
+                .isQuorum(id -> hasHeardFrom(state.membership().find(id).orElseThrow(), now, within));
     }
 
-    private long answeredSentAt(Member member, long now) {
-        return member.identity() == state.identity() ? now : of(member, now).answeredSentAt();
+    private long ackedRequestSentAt(Member member, long now) {
+        return member.identity() == state.identity()
+                ? now
+                : progressOf(member, now).ackedRequestSentAt();
     }
 
     private void heartbeat(long now) {
         heartbeatAt = now;
         for (Member member : state.membership().members()) {
             if (member.identity() != state.identity()) {
-                long match = of(member, now).match();
-                // The prefix that the member is known to hold: if it was trimmed here, the start of the log matches
-                // too.
+                long match = progressOf(member, now).match();
+                // Uses the prefix that the member is known to hold; if that was compacted here, the start of the log
+                // matches too.
                 long prev = state.log().termAt(match) < 0 ? 0 : match;
                 send(member, prev, Math.max(0, state.log().termAt(prev)), List.of(), now);
             }
         }
     }
 
-    private void persistOwn() {
-        // One request at a time: what is proposed while the disk is busy goes out together, under one sync.
+    private void persistLocally() {
+        // One request at a time: commands proposed while the disk is busy are written together, with one sync.
         if (state.isDurable(ownSequence)) {
             ownSequence = state.persistTail();
         }
     }
 
     private void replicate(Member member, long now) {
-        Progress to = of(member, now);
+        Progress to = progressOf(member, now);
         while (to.inFlight() < state.settings().limits().inFlight()
                 && to.next() <= state.log().lastIndex()) {
             long prev = to.next() - 1;
@@ -188,16 +193,16 @@
                 new AppendRequestMessage(state.envelope(to.identity()), prev, prevTerm, state.commit(), now, entries));
     }
 
-    private void commitReached() {
-        long reached = state.membership().reachedByQuorum(this::match);
-        if (reached > state.commit() && state.log().termAt(reached) == state.term()) {
-            state.commitTo(reached);
+    private void advanceCommit() {
+        long committable = state.membership().reachedByQuorum(this::match);
+        if (committable > state.commit() && state.log().termAt(committable) == state.term()) {
+            state.commitTo(committable);
         }
         state.applyCommitted();
     }
 
-    private Progress of(Member member, long now) {
-        // Begins with the newest entry, so that a member that lacks it says so.
+    private Progress progressOf(Member member, long now) {
+        // Starts with the newest entry; a member that doesn't have it replies so.
         return progress.computeIfAbsent(
                 member.identity(), id -> new Progress(state.log().lastIndex(), now));
     }
--- a/library/src/main/java/org/copperspindle/consensus/Segment.java
+++ b/library/src/main/java/org/copperspindle/consensus/Segment.java
@@ -19,8 +19,8 @@
     private static final Logger LOGGER = LogManager.getLogger(Segment.class);
     private static final String PREFIX = "log-";
 
-    /** How far the index of a record behind a damaged one may be off and still mark it as one of this log. */
-    private static final long PLAUSIBLE_GAP = 1 << 20;
+    /** Largest index distance at which a valid record after a damaged one is still taken for a record of this log. */
+    private static final long MAX_PLAUSIBLE_GAP = 1 << 20;
 
     private final Path path;
     private final long first;
@@ -65,12 +65,12 @@
         return offsets.get((int) (index - first));
     }
 
-    void added(int bytes) {
+    void recordAppended(int bytes) {
         offsets.add(size);
         size += bytes;
     }
 
-    void cutFrom(long index) {
+    void removeFrom(long index) {
         size = offset(index);
         offsets.subList((int) (index - first), offsets.size()).clear();
     }
@@ -79,9 +79,9 @@
      * Reads a segment.
      *
      * @param path   its file
-     * @param newest true if it is the last one, whose tail may be torn
+     * @param newest true if it is the last segment, whose tail may be torn
      * @param into   receives the entries
-     * @return the segment, cut off before a torn tail
+     * @return the segment, truncated before a torn tail
      * @throws CorruptLogException if synced records are damaged
      */
     static Segment read(Path path, boolean newest, List<LogEntry> into) throws IOException {
@@ -94,15 +94,15 @@
                 break;
             }
             into.add(found.get().entry());
-            segment.added(found.get().size());
+            segment.recordAppended(found.get().size());
         }
         return segment;
     }
 
     /**
-     * Decides whether the bytes from here on are the remains of a batch whose sync never ended. A crash leaves any part
-     * of such a batch, in any order, and nobody was told of it. A whole record of a later batch behind the damage shows
-     * that the damaged one had been synced, and perhaps promised: cutting it off would lose it in silence.
+     * Checks that the remaining bytes belong to a batch whose sync never completed. A crash can leave any part of such
+     * a batch, in any order, and nothing of it was acknowledged. A complete record of a later batch after the damage
+     * shows that the damaged one had been synced and perhaps acknowledged: truncating would lose it silently.
      */
     private void checkTorn(ByteBuffer in, boolean newest) throws CorruptLogException {
         long expected = last() + 1;
@@ -119,6 +119,6 @@
     }
 
     private static boolean isLaterBatch(RecordFormat.Parsed later, long expected) {
-        return later.batchStart() > expected && later.entry().index() < expected + PLAUSIBLE_GAP;
+        return later.batchStart() > expected && later.entry().index() < expected + MAX_PLAUSIBLE_GAP;
     }
 }
--- a/library/src/main/java/org/copperspindle/consensus/SegmentStore.java
+++ b/library/src/main/java/org/copperspindle/consensus/SegmentStore.java
@@ -10,7 +10,7 @@
 import java.util.stream.Stream;
 
 /**
- * The log on the disk, as a row of segments. Not thread-safe; owned by the disk thread once opened.
+ * The log on the disk, as a sequence of segments. Not thread-safe; owned by the disk thread once opened.
  */
 final class SegmentStore implements AutoCloseable {
 
@@ -29,7 +29,7 @@
     }
 
     /**
-     * Opens the log behind a snapshot.
+     * Opens the log after a snapshot.
      *
      * @return the entries after the snapshot
      */
@@ -37,8 +37,8 @@
         long next = snapshot.index() + 1;
         List<Path> paths = paths();
         if (paths.isEmpty()) {
-            // A log always has its newest segment, also an empty one: without it, promised entries are gone.
-            throw new CorruptLogException(folder, 0, "no segment behind snapshot " + snapshot.index());
+            // A log always has its newest segment, even if empty: without it, acknowledged entries are lost.
+            throw new CorruptLogException(folder, 0, "no segment after snapshot " + snapshot.index());
         }
         List<Path> needed = needed(paths, next);
         List<LogEntry> entries = new ArrayList<>();
@@ -65,7 +65,7 @@
         truncateFrom(entries.get(0).index());
         for (LogEntry entry : entries) {
             if (newest().size() >= segmentBytes) {
-                roll(entry.index());
+                startNextSegment(entry.index());
             }
             if (!dirty) {
                 batchStart = entry.index();
@@ -74,7 +74,7 @@
             ByteBuffer record = RecordFormat.encode(entry, (int) (entry.index() - batchStart));
             int size = record.remaining();
             file.append(record);
-            newest().added(size);
+            newest().recordAppended(size);
         }
     }
 
@@ -86,10 +86,10 @@
         }
     }
 
-    /** Drops the whole log and goes on at an index. */
+    /** Deletes the whole log and continues at an index. */
     void reset(long next) throws IOException {
         closeFile();
-        // Newest first, and the one that holds the index last: whatever a crash leaves is recognised at the next start.
+        // Newest first, and the segment with the index last, so that the next start recognises whatever a crash leaves.
         List<Path> old = paths();
         for (int i = old.size() - 1; i >= 0; i--) {
             if (Segment.firstIndex(old.get(i)) >= next) {
@@ -97,11 +97,11 @@
             }
         }
         segments.clear();
-        begin(next);
+        startSegment(next);
         deleteAll(old.stream().filter(p -> Segment.firstIndex(p) < next).toList());
     }
 
-    /** Drops segments that a snapshot covers as a whole. */
+    /** Deletes segments that a snapshot covers completely. */
     void dropThrough(long index) throws IOException {
         while (segments.size() > 1 && segments.get(0).last() <= index) {
             Files.delete(segments.remove(0).path());
@@ -127,19 +127,19 @@
             file = opener.open(newest().path());
         }
         if (index <= newest().last()) {
-            newest().cutFrom(index);
-            // Synced before new records follow: a crash must not leave old records behind them.
+            newest().removeFrom(index);
+            // Synced before new records follow: a crash must not leave old records after them.
             file.truncate(newest().size());
         }
     }
 
-    private void roll(long next) throws IOException {
+    private void startNextSegment(long next) throws IOException {
         force();
         closeFile();
-        begin(next);
+        startSegment(next);
     }
 
-    private void begin(long next) throws IOException {
+    private void startSegment(long next) throws IOException {
         Segment segment = new Segment(folder, next);
         file = opener.open(segment.path());
         file.force();
--- a/library/src/main/java/org/copperspindle/consensus/SnapshotChunkMessage.java
+++ b/library/src/main/java/org/copperspindle/consensus/SnapshotChunkMessage.java
@@ -5,16 +5,16 @@
 import org.copperspindle.wire.MessageCodec;
 
 /**
- * One piece of an encoded {@link LogSnapshot}.
+ * One chunk of an encoded {@link LogSnapshot}.
  *
  * @param envelope      addressing
  * @param snapshotIndex index that the snapshot covers
  * @param snapshotTerm  term of that entry
- * @param offset        first byte of the piece
- * @param total         bytes of the whole
- * @param checksum      CRC32C of the whole
+ * @param offset        first byte of the chunk
+ * @param total         bytes of the whole snapshot
+ * @param checksum      CRC32C of the whole snapshot
  * @param sentAt        the leader's monotonic clock in nanoseconds
- * @param piece         the bytes
+ * @param data          the bytes
  */
 record SnapshotChunkMessage(
         Envelope envelope,
@@ -24,7 +24,7 @@
         long total,
         long checksum,
         long sentAt,
-        byte[] piece)
+        byte[] data)
         implements RaftMessage {
 
     static final MessageCodec<SnapshotChunkMessage> CODEC =
@@ -38,7 +38,7 @@
                 .put(13, total)
                 .put(14, checksum)
                 .put(15, sentAt)
-                .put(16, piece);
+                .put(16, data);
     }
 
     private static SnapshotChunkMessage read(FieldReader in) {
--- a/library/src/main/java/org/copperspindle/consensus/SnapshotReceiver.java
+++ b/library/src/main/java/org/copperspindle/consensus/SnapshotReceiver.java
@@ -9,14 +9,14 @@
 import org.copperspindle.wire.MalformedFrameException;
 
 /**
- * Puts a leader's snapshot together, piece by piece, in bounded memory.
+ * Assembles a leader's snapshot from chunks, in bounded memory.
  */
 final class SnapshotReceiver {
 
     private static final Logger LOGGER = LogManager.getLogger(SnapshotReceiver.class);
 
     private final RaftState state;
-    private ByteArrayOutputStream pieces = new ByteArrayOutputStream();
+    private ByteArrayOutputStream buffer = new ByteArrayOutputStream();
     private long index;
     private long checksum;
 
@@ -24,10 +24,10 @@
         this.state = state;
     }
 
-    /** Takes a piece from the leader of this term. */
+    /** Handles a chunk from the leader of this term. */
     void receive(SnapshotChunkMessage chunk) {
         if (chunk.snapshotIndex() <= state.applied()) {
-            reply(chunk, 0, true, state.hardSequence());
+            reply(chunk, 0, true, state.hardStateSequence());
             return;
         }
         if (chunk.total() > state.settings().limits().snapshotBytes()) {
@@ -38,39 +38,39 @@
             return;
         }
         if (index != chunk.snapshotIndex() || checksum != chunk.checksum()) {
-            pieces = new ByteArrayOutputStream();
+            buffer = new ByteArrayOutputStream();
             index = chunk.snapshotIndex();
             checksum = chunk.checksum();
         }
-        if (chunk.offset() == pieces.size() && pieces.size() + chunk.piece().length <= chunk.total()) {
-            pieces.writeBytes(chunk.piece());
+        if (chunk.offset() == buffer.size() && buffer.size() + chunk.data().length <= chunk.total()) {
+            buffer.writeBytes(chunk.data());
         }
-        if (pieces.size() < chunk.total()) {
-            reply(chunk, pieces.size(), false, state.hardSequence());
+        if (buffer.size() < chunk.total()) {
+            reply(chunk, buffer.size(), false, state.hardStateSequence());
             return;
         }
         finish(chunk);
     }
 
     private void finish(SnapshotChunkMessage chunk) {
-        byte[] whole = pieces.toByteArray();
-        pieces = new ByteArrayOutputStream();
+        byte[] whole = buffer.toByteArray();
+        buffer = new ByteArrayOutputStream();
         index = 0;
         Optional<LogSnapshot> snapshot = decode(whole, chunk);
         if (snapshot.isEmpty()) {
-            reply(chunk, 0, false, state.hardSequence());
+            reply(chunk, 0, false, state.hardStateSequence());
             return;
         }
         if (state.log().termAt(chunk.snapshotIndex()) == chunk.snapshotTerm()) {
-            // The log already leads there: dropping it would drop entries that this member has vouched for.
+            // The log already holds the entry: resetting it would drop entries that this member has acknowledged.
             state.commitTo(chunk.snapshotIndex());
             state.applyCommitted();
-            reply(chunk, 0, state.applied() >= chunk.snapshotIndex(), state.hardSequence());
+            reply(chunk, 0, state.applied() >= chunk.snapshotIndex(), state.hardStateSequence());
             return;
         }
         long sequence = state.install(snapshot.get());
         if (state.hard().group() == 0) {
-            // After the snapshot, never before: a folder that names a group always holds its log.
+            // After the snapshot, never before it: a folder that names a group must always have its log.
             sequence = state.saveHard(state.hard().withGroup(chunk.envelope().group()));
         }
         LOGGER.info(
@@ -99,7 +99,7 @@
 
     private void reply(SnapshotChunkMessage chunk, long next, boolean installed, long sequence) {
         SnapshotReplyMessage reply = new SnapshotReplyMessage(
-                state.answer(chunk.envelope()), chunk.snapshotIndex(), next, installed, chunk.sentAt());
+                state.replyEnvelope(chunk.envelope()), chunk.snapshotIndex(), next, installed, chunk.sentAt());
         state.sendAfter(sequence, chunk.envelope().address(), reply);
     }
 }
--- a/library/src/main/java/org/copperspindle/consensus/SnapshotReplyMessage.java
+++ b/library/src/main/java/org/copperspindle/consensus/SnapshotReplyMessage.java
@@ -5,13 +5,13 @@
 import org.copperspindle.wire.MessageCodec;
 
 /**
- * Answers a {@link SnapshotChunkMessage}.
+ * Reply to a {@link SnapshotChunkMessage}.
  *
  * @param envelope      addressing
  * @param snapshotIndex as in the request
- * @param nextOffset    byte that is wanted next
+ * @param nextOffset    offset of the next byte to send
  * @param installed     true once the whole snapshot is on the disk
- * @param sentAt        clock value of the request, as it came
+ * @param sentAt        clock value of the request, returned unchanged
  */
 record SnapshotReplyMessage(Envelope envelope, long snapshotIndex, long nextOffset, boolean installed, long sentAt)
         implements RaftMessage {
--- a/library/src/main/java/org/copperspindle/consensus/SnapshotSender.java
+++ b/library/src/main/java/org/copperspindle/consensus/SnapshotSender.java
@@ -6,7 +6,8 @@
 import java.util.zip.CRC32C;
 
 /**
- * Sends the newest snapshot to members whose next entry the leader no longer holds, one piece at a time to each.
+ * Sends the newest snapshot to members whose next entry the leader no longer has in memory, one chunk at a time to
+ * each.
  */
 final class SnapshotSender {
 
@@ -17,11 +18,11 @@
         this.state = state;
     }
 
-    /** Sends the next piece, unless one is under way. */
+    /** Sends the next chunk, unless one is in flight. */
     void send(Member to, long now) {
         LogSnapshot newest = state.log().snapshot().orElseThrow();
         Transfer transfer = transfers.get(to.identity());
-        if (transfer == null || transfer.overdueLong(now)) {
+        if (transfer == null || transfer.isStale(now)) {
             transfer = new Transfer(newest);
             transfers.put(to.identity(), transfer);
         }
@@ -29,10 +30,10 @@
                 && now - transfer.sentAt < state.settings().timing().resendNanos()) {
             return;
         }
-        sendPiece(to, transfer, now);
+        sendChunk(to, transfer, now);
     }
 
-    /** Takes an answer; returns true if the snapshot is installed. */
+    /** Handles a reply; returns true if the snapshot is installed. */
     boolean receive(Member from, SnapshotReplyMessage reply, long now) {
         Transfer transfer = transfers.get(from.identity());
         if (transfer == null || transfer.snapshot.index() != reply.snapshotIndex()) {
@@ -44,7 +45,7 @@
         }
         if (reply.nextOffset() < transfer.bytes.length && reply.sentAt() >= transfer.sentAt) {
             transfer.offset = (int) Math.max(0, reply.nextOffset());
-            sendPiece(from, transfer, now);
+            sendChunk(from, transfer, now);
         }
         return false;
     }
@@ -53,7 +54,7 @@
         transfers.clear();
     }
 
-    private void sendPiece(Member to, Transfer transfer, long now) {
+    private void sendChunk(Member to, Transfer transfer, long now) {
         int end = Math.min(
                 transfer.bytes.length,
                 transfer.offset + state.settings().limits().chunkBytes());
@@ -72,7 +73,7 @@
                         Arrays.copyOfRange(transfer.bytes, transfer.offset, end)));
     }
 
-    /** One snapshot on its way to one member. */
+    /** The transfer of one snapshot to one member. */
     private final class Transfer {
         private final LogSnapshot snapshot;
         private final byte[] bytes;
@@ -89,7 +90,7 @@
             this.checksum = crc.getValue();
         }
 
-        private boolean overdueLong(long now) {
+        private boolean isStale(long now) {
             return waiting && now - sentAt > 4 * state.settings().timing().electionNanos();
         }
     }
--- a/library/src/main/java/org/copperspindle/consensus/VoteReplyMessage.java
+++ b/library/src/main/java/org/copperspindle/consensus/VoteReplyMessage.java
@@ -5,13 +5,13 @@
 import org.copperspindle.wire.MessageCodec;
 
 /**
- * Answers a {@link VoteRequestMessage}.
+ * Reply to a {@link VoteRequestMessage}.
  *
  * @param envelope addressing; the term is the voter's own
  * @param preVote  as in the request
- * @param forTerm  term that was asked for
+ * @param forTerm  term of the request
  * @param granted  true if the vote is given
- * @param fresh    true if the voter would give it, and has heard no leader since it started
+ * @param fresh    true if the voter would vote for the candidate and has heard no leader since it started
  */
 record VoteReplyMessage(Envelope envelope, boolean preVote, long forTerm, boolean granted, boolean fresh)
         implements RaftMessage {
--- a/library/src/main/java/org/copperspindle/consensus/VoteRequestMessage.java
+++ b/library/src/main/java/org/copperspindle/consensus/VoteRequestMessage.java
@@ -5,9 +5,9 @@
 import org.copperspindle.wire.MessageCodec;
 
 /**
- * Asks for a vote, or whether one would be given.
+ * Request for a vote or a pre-vote.
  *
- * @param envelope  addressing; the term is the one that the candidate stands for
+ * @param envelope  addressing; the term is the one that the candidate wants to lead
  * @param preVote   true to ask only whether a vote would be given, which changes nothing at the receiver
  * @param lastIndex index of the candidate's last entry
  * @param lastTerm  term of that entry
--- a/library/src/main/java/org/copperspindle/consensus/VoterAddress.java
+++ b/library/src/main/java/org/copperspindle/consensus/VoterAddress.java
@@ -3,9 +3,9 @@
 import java.net.InetSocketAddress;
 
 /**
- * A voter as settings name it.
+ * A voter as configured or discovered.
  *
  * @param name    identity of its process
- * @param address address of its system protocol
+ * @param address address of its internal protocol
  */
 public record VoterAddress(String name, InetSocketAddress address) {}
--- a/library/src/main/java/org/copperspindle/consensus/VoterSource.java
+++ b/library/src/main/java/org/copperspindle/consensus/VoterSource.java
@@ -3,45 +3,45 @@
 import java.util.List;
 
 /**
- * Which members a group should have. Either the operator names them, or the members that are found are taken as they
- * come and go. Asked on the decision ring.
+ * Supplies the voters that a group should have: either the operator configures them, or members are discovered as they
+ * come and go. Called on the decision ring.
  */
 public interface VoterSource {
 
     /**
-     * Returns the voters that are wanted, or known.
+     * Returns the configured or discovered voters.
      *
-     * @return in the same order on all members; the first one founds the group
+     * @return the voters, in the same order on all members; the first one bootstraps the group
      */
     List<VoterAddress> voters();
 
     /**
-     * Says whether a group may be founded now. A member that lost its disk must not found a second group beside the one
-     * that it has forgotten.
+     * Returns whether a group may be bootstrapped now. A member that lost its disk must not bootstrap a second group
+     * besides the one that it no longer knows.
      *
      * @return false if this member may only join
      */
     boolean mayBootstrap();
 
     /**
-     * Says whether every member that asks becomes a voter, and one that stays silent is removed.
+     * Returns whether every member that asks becomes a voter, and one that stops replying is removed.
      *
-     * @return false if the operator names the voters
+     * @return false if the operator configures the voters
      */
     boolean isDynamic();
 
     /**
-     * Returns how many voters a removal must leave.
+     * Returns how many voters must remain after a removal.
      *
-     * @return enough to bear the losses that the group must bear at once
+     * @return the number that the group needs to tolerate the required number of simultaneous losses
      */
     int minVoters();
 
     /**
-     * Makes the roster of a group whose voters the operator names.
+     * Creates the source for a group whose voters the operator configures.
      *
      * @param voters the voters, in the same order on all members
-     * @return a roster that never changes
+     * @return a source that never changes
      */
     static VoterSource fixedVoters(List<VoterAddress> voters) {
         List<VoterAddress> fixed = List.copyOf(voters);
--- a/library/src/test/java/org/copperspindle/consensus/ConsensusLogTest.java
+++ b/library/src/test/java/org/copperspindle/consensus/ConsensusLogTest.java
@@ -28,16 +28,16 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 /**
- * Three members with real sockets and files.
+ * Tests three members with real sockets and files.
  */
 class ConsensusLogTest {
 
-    private static final long PATIENCE_NANOS = TimeUnit.SECONDS.toNanos(60);
+    private static final long TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(60);
 
     @TempDir
     private Path data;
 
-    private final Set<String> cut = ConcurrentHashMap.newKeySet();
+    private final Set<String> partitioned = ConcurrentHashMap.newKeySet();
     private final List<VoterAddress> voters = new ArrayList<>();
     private final List<SocketMember> members = new ArrayList<>();
 
@@ -57,9 +57,11 @@
         members.forEach(SocketMember::kill);
     }
 
-    /** The leader's process dies: another member leads, and everything that was answered as committed is there. */
+    /**
+     * The leader's process is killed: another member becomes leader and has everything that was reported as committed.
+     */
     @Test
-    void killedLeaderLosesNothing() {
+    void killedLeaderLosesNoCommittedEntry() {
         for (int i = 0; i < 20; i++) {
             commit("before-" + i);
         }
@@ -73,31 +75,32 @@
     }
 
     /**
-     * The leader is cut off while its connections stay open. What it takes from then on is answered as unknown, it says
-     * that it leads no more, and another member leads; back again, it holds what the others committed and nothing else.
+     * The leader is partitioned while its connections stay open. Commands that it accepts from then on must be reported
+     * as unknown, it must stop being leader, and another member must take over. After the partition it must hold what
+     * the others committed and nothing else.
      */
     @Test
-    void leaderCutOffInSilenceAnswersUnknown() throws Exception {
+    void partitionedLeaderReportsUnknown() throws Exception {
         commit("before");
         SocketMember old = awaitLeader();
-        cut.add(old.name);
-        CompletableFuture<ProposalResult> doubtful = old.propose("doubtful");
+        partitioned.add(old.name);
+        CompletableFuture<ProposalResult> unknown = old.propose("doubtful");
         until("another leader", () -> others(old).stream().anyMatch(SocketMember::leads));
         assertThat(old.leads()).isFalse();
-        assertThat(doubtful.get(60, TimeUnit.SECONDS)).isInstanceOf(ProposalResult.Unknown.class);
+        assertThat(unknown.get(60, TimeUnit.SECONDS)).isInstanceOf(ProposalResult.Unknown.class);
         assertThat(old.propose("refused").get(60, TimeUnit.SECONDS)).isInstanceOf(ProposalResult.NotTaken.class);
         commit("after");
-        cut.clear();
+        partitioned.clear();
         until("old leader caught up", () -> old.state.contains("after"));
         assertThat(old.state).doesNotContain("doubtful", "refused");
     }
 
     /**
-     * A member's disk fails while its folder is read, which the file system may tell by an unchecked exception. The next attempt
-     * must find the folder free, or the member stays out of the group for good.
+     * A member's disk fails while its folder is read, which the file system may report by an unchecked exception. The
+     * next attempt must find the folder unlocked, or the member stays out of the group permanently.
      */
     @Test
-    void folderThatCouldNotBeReadIsReadLater() throws IOException {
+    void folderCanBeReadAfterAFailedAttempt() throws IOException {
         commit("kept");
         SocketMember old = awaitLeader();
         kill(old);
@@ -110,11 +113,12 @@
     }
 
     /**
-     * A voter comes back with an empty folder: it is a learner first and votes under a new identity once it holds
-     * everything. Right after that another VM is lost for good. Nothing that was answered as committed is missing.
+     * A voter comes back with an empty folder: it must be a learner first, and vote under a new identity once it holds
+     * everything. Right after that another VM is lost permanently. Nothing that was reported as committed may be
+     * missing.
      */
     @Test
-    void emptiedVoterThenSecondLossLosesNothing() throws IOException {
+    void emptiedVoterAndSecondLossLoseNoCommittedEntry() throws IOException {
         commit("kept");
         SocketMember leader = awaitLeader();
         SocketMember emptied = others(leader).get(0);
@@ -138,11 +142,11 @@
     }
 
     /**
-     * The leader's disk is full: its sync fails. It answers what is open as unknown, leads no more and takes part no
-     * more; the others go on, and the folder is sound when the member starts again with room on the disk.
+     * A member's disk is full, so its sync fails. The member must stop being leader and stop participating; the others
+     * continue, and the folder must be intact when the member starts again with free disk space.
      */
     @Test
-    void failingDiskStopsTheMemberOnly() throws Exception {
+    void failingDiskStopsOnlyTheMember() throws Exception {
         SocketMember victim = members.get(0);
         commit("before");
         kill(victim);
@@ -164,7 +168,7 @@
     private SocketMember start(String name, LogFile.Opener opener) throws IOException {
         VoterAddress self =
                 voters.stream().filter(v -> v.name().equals(name)).findFirst().orElseThrow();
-        SocketMember member = new SocketMember(self, voters, data.resolve(name), cut, opener);
+        SocketMember member = new SocketMember(self, voters, data.resolve(name), partitioned, opener);
         members.add(member);
         return member;
     }
@@ -187,7 +191,7 @@
         return members.stream().filter(SocketMember::leads).findFirst();
     }
 
-    /** Proposes until it is answered as committed; proposals in doubt are proposed again under the same name. */
+    /** Proposes a command until it is reported as committed; a proposal with an unknown result is proposed again. */
     private void commit(String command) {
         until("committed " + command, () -> {
             Optional<SocketMember> leader = leading();
@@ -201,9 +205,9 @@
     }
 
     private static void until(String what, BooleanSupplier condition) {
-        long end = System.nanoTime() + PATIENCE_NANOS;
+        long deadline = System.nanoTime() + TIMEOUT_NANOS;
         while (!condition.getAsBoolean()) {
-            assertThat(System.nanoTime()).as(what).isLessThan(end);
+            assertThat(System.nanoTime()).as(what).isLessThan(deadline);
             java.util.concurrent.locks.LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(5));
         }
     }
@@ -216,7 +220,7 @@
         }
     }
 
-    /** A file on a disk that fills up: half of the bytes arrive, then it fails. */
+    /** A file on a disk that becomes full: half of the bytes are written, then the write fails. */
     private record FailingFile(LogFile file, AtomicBoolean full) implements LogFile {
         @Override
         public void append(ByteBuffer bytes) throws IOException {
--- a/library/src/test/java/org/copperspindle/consensus/FaultSchedule.java
+++ b/library/src/test/java/org/copperspindle/consensus/FaultSchedule.java
@@ -5,8 +5,8 @@
 import org.copperspindle.consensus.SimulatedGroup.SimulatedMember;
 
 /**
- * Random faults of a group: cuts in one or both directions, crashes, and lost disks, one disk at a time. A second disk is
- * lost only after the group's own log says that the first one's repair is over.
+ * Random faults in a group: links cut in one or both directions, crashes, and lost disks, one disk at a time. A second
+ * disk is lost only after the group's own log shows that the first one's repair is complete.
  */
 final class FaultSchedule {
 
@@ -17,7 +17,7 @@
         this.group = group;
     }
 
-    void step(int number) {
+    void run(int number) {
         group.time.advance(group.random.nextLong(20 * SimulatedGroup.MILLI));
         SimulatedMember member = group.member(group.random.nextInt(group.members.size()));
         member.propose("p" + number);
@@ -26,12 +26,12 @@
         }
         switch (group.random.nextInt(60)) {
             case 0 -> crash(member);
-            case 1 -> group.cutOff(member);
-            case 2 -> group.cut.add(member.name + ">m" + group.random.nextInt(group.members.size()));
-            case 3, 4, 5, 6 -> group.cut.clear();
+            case 1 -> group.isolate(member);
+            case 2 -> group.cutLinks.add(member.name + ">m" + group.random.nextInt(group.members.size()));
+            case 3, 4, 5, 6 -> group.cutLinks.clear();
             case 7 -> loseDisk(member);
             case 8 -> group.leading().ifPresent(this::crash);
-            case 9 -> group.leading().ifPresent(group::cutOff);
+            case 9 -> group.leading().ifPresent(group::isolate);
             default -> {
                 if (group.random.nextInt(20) == 0) {
                     group.members.stream().filter(m -> m.node == null).forEach(SimulatedMember::start);
@@ -41,7 +41,7 @@
     }
 
     void heal() {
-        group.cut.clear();
+        group.cutLinks.clear();
         group.loss = 0;
         group.members.stream().filter(m -> m.node == null).forEach(SimulatedMember::start);
     }
--- a/library/src/test/java/org/copperspindle/consensus/FreshElectionTest.java
+++ b/library/src/test/java/org/copperspindle/consensus/FreshElectionTest.java
@@ -11,17 +11,21 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Elections among members that have just started. {@link SimulatedGroup} checks after every step that no two members lead.
+ * Elections among members that have just started. {@link SimulatedGroup} checks after every step that no two members
+ * lead.
  */
 class FreshElectionTest {
 
     private static final long MILLI = SimulatedGroup.MILLI;
     private static final long ELECTION = SimulatedGroup.TIMING.electionNanos();
 
-    /** All lose power together: callers wait for a leader, and each member waited for the end of a lease that nobody held. */
+    /**
+     * All members lose power at once. Callers would wait for a leader while each member waits for the end of a lease
+     * that no leader holds.
+     */
     @ParameterizedTest
     @CsvSource({"3, 1", "3, 2", "3, 3", "5, 4", "5, 5", "8, 6", "8, 7"})
-    void membersThatAllStartedAnewElectAtOnce(int voters, long seed) {
+    void restartedGroupElectsAtOnce(int voters, long seed) {
         SimulatedGroup group = started(voters, seed);
         group.members.forEach(SimulatedMember::crash);
         group.time.advance(30 * MILLI);
@@ -30,13 +34,13 @@
         group.awaitLeader();
         assertThat(group.time.nanoTime() - from).isLessThan(ELECTION);
         group.commit("b");
-        group.checkAllHoldEverything();
+        group.awaitAllHoldAcknowledged();
     }
 
-    /** One voter does not answer: it may be a leader whose lease still runs. */
+    /** One voter does not reply: it may be a leader whose lease is still running. */
     @ParameterizedTest
     @ValueSource(longs = {11, 12, 13, 14})
-    void oneVoterThatIsDownHoldsTheOthersToTheirPromise(long seed) {
+    void othersWaitAnElectionTimeoutWhileOneVoterIsDown(long seed) {
         SimulatedGroup group = started(5, seed);
         group.members.forEach(SimulatedMember::crash);
         group.time.advance(MILLI);
@@ -46,30 +50,33 @@
         assertThat(group.time.nanoTime() - from).isGreaterThan(ELECTION * 9 / 10);
     }
 
-    /** All followers restart while the leader lives, cut off from them or not: none leads beside it. */
+    /**
+     * All followers restart while the leader runs, partitioned from them or not: no other member may become leader
+     * beside it.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void leaderThatLivesIsNotOvertaken(boolean cutOff) {
+    void runningLeaderIsNotReplaced(boolean isolate) {
         for (long seed = 100; seed < 140; seed++) {
             SimulatedGroup group = started(5, seed);
             SimulatedMember leader = group.awaitLeader();
-            if (cutOff) {
-                group.cutOff(leader);
+            if (isolate) {
+                group.isolate(leader);
             }
             group.members.stream().filter(m -> m != leader).forEach(m -> {
                 m.crash();
                 m.start();
             });
             group.time.advance(3 * ELECTION);
-            group.cut.clear();
+            group.cutLinks.clear();
             group.commit("b");
-            group.checkAllHoldEverything();
+            group.awaitAllHoldAcknowledged();
         }
     }
 
-    /** Crashes of all, of some and one by one, over a network that loses, doubles and delays. */
+    /** Crashes of all members, of some and one by one, on a network that loses, duplicates and delays messages. */
     @Test
-    void promisesHoldWhileAllRestartAgainAndAgain() {
+    void safetyHoldsUnderRepeatedRestarts() {
         for (long seed = 200; seed < 230; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             SimulatedGroup group = started(5, seed);
@@ -89,7 +96,7 @@
             }
             group.loss = 0;
             group.commit("last");
-            group.checkAllHoldEverything();
+            group.awaitAllHoldAcknowledged();
         }
     }
 
@@ -97,7 +104,7 @@
         SimulatedGroup group = new SimulatedGroup(seed, voters);
         group.startAll();
         group.commit("a");
-        group.checkAllHoldEverything();
+        group.awaitAllHoldAcknowledged();
         return group;
     }
 }
--- a/library/src/test/java/org/copperspindle/consensus/LeaderCommitTest.java
+++ b/library/src/test/java/org/copperspindle/consensus/LeaderCommitTest.java
@@ -10,7 +10,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * One leader, message by message.
+ * Tests one leader message by message.
  */
 class LeaderCommitTest {
 
@@ -23,7 +23,7 @@
     private long term;
     private RaftNode node;
 
-    /** Makes a leader whose log ends with an entry of an older term that is not known to be committed. */
+    /** Creates a leader whose log ends with an entry of an older term that is not known to be committed. */
     @BeforeEach
     void elect() {
         List<RaftSettings.Voter> voters = List.of(
@@ -33,28 +33,29 @@
         Membership membership = new Membership(List.of(member(1), member(2), member(3)));
         RecoveredState recovered = new RecoveredState(
                 new HardState(1, "m1", GROUP, 4, 0),
-                Optional.of(LogSnapshot.founding(membership)),
+                Optional.of(LogSnapshot.bootstrap(membership)),
                 List.of(new LogEntry(OLD_ENTRY, 2, EntryKind.COMMAND, new byte[0])));
         RaftSettings settings = new RaftSettings("g", "m1", "m1", "m1", voters, TIMING, RaftLimits.DEFAULT);
         node = new RaftNode(settings, recovered, new SplittableRandom(1), now);
         now += 2 * TIMING.electionNanos();
         node.tick(now);
         node.receive(new VoteReplyMessage(from(2, 4), true, 5, true, false), now);
-        carryOut();
+        executeActions();
         term = node.term();
         node.receive(new VoteReplyMessage(from(2, term), false, term, true, false), now);
-        carryOut();
+        executeActions();
         assertThat(node.role()).isEqualTo(RaftRole.LEADER);
     }
 
     /**
-     * A quorum holds an entry of an older term, and no entry of this one yet. Another member with a newer entry in the
-     * same place may still be elected and replace it: counted as committed, an accepted change would change.
+     * A quorum holds an entry of an older term, and no entry of this term yet. Another member with a newer entry at the
+     * same index may still be elected and replace it: if it were counted as committed, an accepted change could be
+     * lost.
      */
     @Test
     void entryOfOlderTermCommitsOnlyUnderOneOfThisTerm() {
         node.receive(new AppendReplyMessage(from(2, term), true, OLD_ENTRY, now), now);
-        assertThat(node.commit()).isEqualTo(LogSnapshot.FOUNDING_INDEX);
+        assertThat(node.commit()).isEqualTo(LogSnapshot.BOOTSTRAP_INDEX);
         assertThat(node.leads(now)).isFalse();
         node.receive(new AppendReplyMessage(from(2, term), true, OWN_ENTRY, now), now);
         assertThat(node.commit()).isEqualTo(OWN_ENTRY);
@@ -62,21 +63,21 @@
     }
 
     /**
-     * Two steps of membership at once, or one before an entry of the own term is committed, could lead to two quorums
-     * that share no member: two leaders at once.
+     * Two membership changes at once, or one before an entry of the leader's own term is committed, could lead to two
+     * quorums that share no member, and so to two leaders at once.
      */
     @Test
-    void stepsOfMembershipWaitForEachOther() {
+    void membershipChangesWaitForEachOther() {
         assertThat(node.remove("m3", now)).isFalse();
         node.receive(new AppendReplyMessage(from(2, term), true, OWN_ENTRY, now), now);
         assertThat(node.remove("m3", now)).isTrue();
         assertThat(node.remove("m2", now)).isFalse();
-        carryOut();
+        executeActions();
         node.receive(new AppendReplyMessage(from(2, term), true, OWN_ENTRY + 1, now), now);
         assertThat(node.remove("m2", now)).isTrue();
     }
 
-    private void carryOut() {
+    private void executeActions() {
         for (RaftAction action : node.drain()) {
             if (action instanceof RaftAction.Persist persist) {
                 node.persisted(persist.sequence(), now);
--- a/library/src/test/java/org/copperspindle/consensus/LeaderLeaseTest.java
+++ b/library/src/test/java/org/copperspindle/consensus/LeaderLeaseTest.java
@@ -7,18 +7,18 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * The leader's lease against the one follower that it rests on.
+ * The leader's lease, with the one follower on which it depends.
  */
 class LeaderLeaseTest {
 
     private static final long STEP = SimulatedGroup.MILLI / 20;
 
     /**
-     * One of three voters is down, so that the lease rests on a single follower; the leader's clock is as slow, and the
-     * follower's as fast, as the declared bound allows. The leader is cut off. A candidate asks the follower for its vote
-     * again and again: by the instant that it gets it, the leader must have stopped saying that it leads. Answers that
-     * come back late and a restart of the follower must not shorten what it promised, nor may a candidate that says that nobody
-     * has promised anything.
+     * One of three voters is down, so the lease depends on a single follower. The leader's clock is as slow, and the
+     * follower's as fast, as the declared bound allows. The leader is partitioned, and a candidate asks the follower
+     * for its vote repeatedly: when the follower grants it, the leader must already have stopped being leader. Delayed
+     * replies, a restart of the follower, and a candidate that claims that all members are fresh must not shorten the
+     * follower's wait.
      */
     @ParameterizedTest
     @CsvSource({
@@ -29,7 +29,7 @@
         "0, false, true",
         "15, false, true"
     })
-    void followerVotesOnlyAfterTheLeaseHasEnded(long lateAnswerMillis, boolean restarts, boolean claimsAllFresh) {
+    void followerVotesOnlyAfterTheLeaseHasEnded(long replyDelayMillis, boolean restarts, boolean claimsAllFresh) {
         SimulatedGroup group = new SimulatedGroup(51, 3);
         group.maxDelay = 1;
         group.members.forEach(m -> m.changeRate(1));
@@ -41,7 +41,7 @@
         follower.changeRate(1 + SimulatedGroup.TIMING.driftPerMille() / 1000.0);
         long candidateIdentity = candidate.node.identity();
         candidate.crash();
-        group.slowLinks.put(follower.name + ">" + leader.name, lateAnswerMillis * SimulatedGroup.MILLI);
+        group.slowLinks.put(follower.name + ">" + leader.name, replyDelayMillis * SimulatedGroup.MILLI);
         group.time.advance(500 * SimulatedGroup.MILLI);
         assertThat(leader.leads()).isTrue();
         long groupIdentity = leader.node
@@ -54,7 +54,7 @@
                 .identity();
         long term = leader.node.term() + 1;
         long lastSent = group.time.nanoTime();
-        group.cut.add(leader.name + ">" + follower.name);
+        group.cutLinks.add(leader.name + ">" + follower.name);
         if (restarts) {
             follower.crash();
             follower.start();
--- a/library/src/test/java/org/copperspindle/consensus/MemberFolderTest.java
+++ b/library/src/test/java/org/copperspindle/consensus/MemberFolderTest.java
@@ -43,8 +43,8 @@
     }
 
     @Test
-    void everythingSyncedIsFoundAgain() throws IOException {
-        begin();
+    void everythingSyncedIsRecovered() throws IOException {
+        initialize();
         for (long i = 2; i <= 50; i++) {
             append(1, i, i);
         }
@@ -56,13 +56,14 @@
     }
 
     /**
-     * Power fails while a batch of three records is written: its tail is missing, or its first record never arrived
-     * while later ones did. Nobody was told of the batch, so the member starts without it and keeps all before.
+     * Power fails while a batch of three records is written: the end of the batch is missing, or its first record was
+     * not written while later ones were. The batch was not acknowledged, so the member must start without it and keep
+     * everything before.
      */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 9, 35, 36, 37, 60, 80, 107})
-    void tornTailIsCutOff(int kept) throws IOException {
-        begin();
+    void tornTailIsTruncated(int kept) throws IOException {
+        initialize();
         append(1, 2, 3);
         long synced = Files.size(newestSegment());
         append(1, 4, 6);
@@ -76,8 +77,8 @@
     }
 
     @Test
-    void batchThatArrivedOutOfOrderIsCutOff() throws IOException {
-        begin();
+    void batchWrittenOutOfOrderIsTruncated() throws IOException {
+        initialize();
         append(1, 2, 3);
         long synced = Files.size(newestSegment());
         append(1, 4, 6);
@@ -86,13 +87,14 @@
     }
 
     /**
-     * A byte of an old record changes on the disk. It was synced, so that others may rely on it; starting without it, or
-     * with what follows, would lose an accepted change in silence. The member refuses, naming file and offset.
+     * A byte of an old record changes on the disk. The record was synced, so others may rely on it; starting without
+     * it, or with what follows, would silently lose an accepted change. The member must refuse to start and name the
+     * file and the offset.
      */
     @ParameterizedTest
     @ValueSource(ints = {0, 5, 9, 15, 35})
     void damagedMiddleIsRefused(int within) throws IOException {
-        begin();
+        initialize();
         append(1, 2, 3);
         long second = Files.size(newestSegment());
         append(1, 4, 4);
@@ -106,7 +108,7 @@
 
     @Test
     void damageInAnOlderSegmentIsRefused() throws IOException {
-        begin();
+        initialize();
         for (long i = 2; i <= 40; i++) {
             append(1, i, i);
         }
@@ -119,7 +121,7 @@
 
     @Test
     void missingSegmentIsRefused() throws IOException {
-        begin();
+        initialize();
         for (long i = 2; i <= 40; i++) {
             append(1, i, i);
         }
@@ -130,7 +132,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"member", "snapshot-", "log-"})
     void partlyEmptiedFolderIsRefused(String prefix) throws IOException {
-        begin();
+        initialize();
         append(1, 2, 5);
         close();
         for (Path file : files(prefix)) {
@@ -139,12 +141,15 @@
         assertThatThrownBy(this::open).isInstanceOf(CorruptLogException.class);
     }
 
-    /** The process dies while it writes a snapshot aside: the old snapshot and the whole log are there. */
+    /**
+     * The process crashes while it writes a snapshot to the temporary file: the old snapshot and the whole log must be
+     * found.
+     */
     @Test
-    void snapshotCutHalfWayIsIgnored() throws IOException {
-        begin();
+    void incompleteSnapshotIsIgnored() throws IOException {
+        initialize();
         append(1, 2, 30);
-        Files.write(path.resolve("snapshot-0000000000000014" + AtomicFile.ASIDE_SUFFIX), new byte[100]);
+        Files.write(path.resolve("snapshot-0000000000000014" + AtomicFile.TEMP_SUFFIX), new byte[100]);
         RecoveredState found = reopen();
         assertThat(found.snapshot().orElseThrow().index()).isEqualTo(1);
         assertThat(indexes(found)).isEqualTo(range(2, 30));
@@ -153,7 +158,7 @@
 
     @Test
     void damagedSnapshotIsRefused() throws IOException {
-        begin();
+        initialize();
         snapshot(1, 1, false);
         Path file = files("snapshot-").get(0);
         flip(file, Files.size(file) - 1);
@@ -162,8 +167,8 @@
     }
 
     @Test
-    void snapshotLetsOldSegmentsGo() throws IOException {
-        begin();
+    void snapshotDeletesOldSegments() throws IOException {
+        initialize();
         for (long i = 2; i <= 60; i++) {
             append(1, i, i);
         }
@@ -176,13 +181,13 @@
     }
 
     /**
-     * A leader's snapshot replaces the whole log, and the process dies after the snapshot is there and before the old
-     * segments are gone. At the next start the old log, which contradicts the snapshot, must not come back.
+     * A leader's snapshot replaces the whole log, and the process crashes after the snapshot is written and before the
+     * old segments are deleted. At the next start the old log, which contradicts the snapshot, must not be used.
      */
     @ParameterizedTest
     @ValueSource(ints = {20, 40})
     void interruptedInstallIsCompleted(int index) throws IOException {
-        begin();
+        initialize();
         append(1, 2, 30);
         close();
         LogSnapshot installed = new LogSnapshot(index, 3, GROUP, new byte[5]);
@@ -196,7 +201,7 @@
 
     @Test
     void conflictingTailIsReplaced() throws IOException {
-        begin();
+        initialize();
         for (long i = 2; i <= 40; i++) {
             append(1, i, i);
         }
@@ -221,7 +226,7 @@
 
     @Test
     void folderOfAnotherMemberOrInUseIsRefused() throws IOException {
-        begin();
+        initialize();
         assertThatThrownBy(() -> new MemberFolder(path, SEGMENT_BYTES, LogFile::open).recover("m", () -> 9))
                 .isInstanceOf(IOException.class)
                 .hasMessageContaining("in use");
@@ -231,7 +236,7 @@
     }
 
     @Test
-    void recordOverheadIsWhatThePageSays() {
+    void recordOverheadIs29Bytes() {
         ByteBuffer record = RecordFormat.encode(new LogEntry(1, 1, EntryKind.COMMAND, new byte[100]), 0);
         assertThat(record.remaining())
                 .isEqualTo(100 + RecordFormat.OVERHEAD_BYTES)
@@ -248,10 +253,10 @@
         return open();
     }
 
-    private void begin() throws IOException {
+    private void initialize() throws IOException {
         open();
         folder.execute(List.of(
-                new PersistRequest.SaveSnapshot(LogSnapshot.founding(GROUP), true),
+                new PersistRequest.SaveSnapshot(LogSnapshot.bootstrap(GROUP), true),
                 new PersistRequest.SaveHardState(new HardState(7, "m", 7, 1, 0))));
     }
 
--- a/library/src/test/java/org/copperspindle/consensus/RaftNodeTest.java
+++ b/library/src/test/java/org/copperspindle/consensus/RaftNodeTest.java
@@ -12,7 +12,7 @@
 
 /**
  * The consensus core under faults, in virtual time. {@link SimulatedGroup} checks after every step that each term has
- * one leader, that no two members lead at one instant, and that no committed entry changes.
+ * one leader, that no two members lead at the same time, and that no committed entry changes.
  */
 class RaftNodeTest {
 
@@ -20,26 +20,26 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 3, 5})
-    void groupFoundsItselfAndCommits(int voters) {
+    void groupBootstrapsAndCommits(int voters) {
         SimulatedGroup group = new SimulatedGroup(1, voters);
         group.startAll();
         group.commit("a");
-        group.checkAllHoldEverything();
+        group.awaitAllHoldAcknowledged();
     }
 
     /**
-     * Operators go on getting answers while the network loses, doubles, delays and reorders messages, members crash, are
-     * cut off, or lose their disk one at a time. Whatever was acknowledged stays; what was committed never changes.
-     * When all is whole again, every member holds everything that was ever acknowledged.
+     * The network loses, duplicates, delays and reorders messages, and members crash, are partitioned, or lose their
+     * disks one at a time. Whatever was acknowledged must be kept, and what was committed must never change. When all
+     * faults are over, every member must hold everything that was ever acknowledged.
      */
     @ParameterizedTest
     @CsvSource({"3, 100, 24", "5, 200, 12"})
-    void promisesHoldUnderRandomFaults(int voters, long firstSeed, int schedules) {
+    void safetyHoldsUnderRandomFaults(int voters, long firstSeed, int schedules) {
         int acknowledged = 0;
         for (long seed = firstSeed; seed < firstSeed + schedules; seed++) {
             acknowledged += runSchedule(seed, voters);
         }
-        // A schedule that never commits would prove nothing.
+        // A schedule that commits nothing would prove nothing.
         assertThat(acknowledged).isGreaterThan(100 * schedules);
     }
 
@@ -52,22 +52,22 @@
         group.awaitLeader();
         FaultSchedule faults = new FaultSchedule(group);
         for (int step = 0; step < 2000; step++) {
-            faults.step(step);
+            faults.run(step);
         }
         faults.heal();
         group.commit("last");
-        group.checkAllHoldEverything();
+        group.awaitAllHoldAcknowledged();
         return group.acknowledgedCount();
     }
 
     /**
-     * The operator's change is committed while one of three voters is down. Then another voter loses its disk and comes
-     * back empty, and after its repair a second VM is lost for good. The change was on two disks, and one of them is
-     * gone: had the empty member voted at once, the one that was down could have been elected without the change.
+     * A change is committed while one of three voters is down. Then another voter loses its disk and comes back empty,
+     * and after its repair a second VM is lost permanently. The change was on two disks, and one of them is lost: if
+     * the empty member had voted at once, the one that was down could have been elected without the change.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-    void lossOfSecondVoterAfterRepairLosesNothing(long seed) {
+    void lossOfSecondVoterAfterRepairLosesNoCommittedEntry(long seed) {
         SimulatedGroup group = new SimulatedGroup(seed, 3);
         group.startAll();
         SimulatedMember leader = group.awaitLeader();
@@ -92,105 +92,107 @@
     }
 
     /**
-     * All first voters but one lose nothing; that one, the founder, comes back with an empty folder. It must not found a
-     * second group beside the one that lives, even while it is cut off from everybody.
+     * Of the first voters, only the one that bootstrapped the group comes back with an empty folder. It must not
+     * bootstrap a second group besides the existing one, even while it is partitioned from all others.
      */
     @Test
-    void emptiedFounderFoundsNoSecondGroup() {
+    void emptiedMemberBootstrapsNoSecondGroup() {
         SimulatedGroup group = new SimulatedGroup(9, 3);
         group.startAll();
         group.commit("a");
-        SimulatedMember founder = group.member(0);
-        founder.crash();
-        founder.loseDisk();
-        group.cutOff(founder);
-        founder.start();
+        SimulatedMember bootstrapper = group.member(0);
+        bootstrapper.crash();
+        bootstrapper.loseDisk();
+        group.isolate(bootstrapper);
+        bootstrapper.start();
         group.time.advance(2000 * MILLI);
-        assertThat(founder.node.membership()).isEqualTo(Membership.EMPTY);
-        group.cut.clear();
-        group.until("founder back", () -> founder.state.contains("a"));
+        assertThat(bootstrapper.node.membership()).isEqualTo(Membership.EMPTY);
+        group.cutLinks.clear();
+        group.until("founder back", () -> bootstrapper.state.contains("a"));
     }
 
     /**
-     * A leader is cut off in silence. Before another can be elected it stops saying that it leads, then steps down; what
-     * it had taken since is reported as unknown, and the group goes on.
+     * A leader is partitioned without notice. Before another one can be elected it must stop being leader, then step
+     * down; what it had accepted since must not be reported as committed, and the group must continue.
      */
     @ParameterizedTest
     @ValueSource(longs = {11, 12, 13, 14})
-    void leaderCutOffInSilenceStopsLeading(long seed) {
+    void partitionedLeaderStopsLeading(long seed) {
         SimulatedGroup group = new SimulatedGroup(seed, 3);
         group.startAll();
         SimulatedMember old = group.awaitLeader();
-        group.cutOff(old);
+        group.isolate(old);
         assertThat(old.propose("lost")).isTrue();
         group.until(
                 "another leader", () -> group.leading().filter(m -> m != old).isPresent());
         assertThat(old.node.role()).isNotEqualTo(RaftRole.LEADER);
         group.commit("kept");
-        group.cut.clear();
-        group.checkAllHoldEverything();
+        group.cutLinks.clear();
+        group.awaitAllHoldAcknowledged();
         assertThat(group.isAcknowledged("lost")).isFalse();
         assertThat(old.state).contains("kept").doesNotContain("lost");
     }
 
-    /** A follower that was cut off for long comes back: the leader keeps its place and its term. */
+    /** A follower that was partitioned for long comes back: the leader must keep its role and its term. */
     @Test
-    void returningFollowerDeposesNobody() {
+    void returningFollowerDoesNotReplaceTheLeader() {
         SimulatedGroup group = new SimulatedGroup(21, 3);
         group.startAll();
         SimulatedMember leader = group.awaitLeader();
         long term = leader.node.term();
         SimulatedMember follower =
                 group.members.stream().filter(m -> m != leader).findFirst().orElseThrow();
-        group.cutOff(follower);
+        group.isolate(follower);
         group.time.advance(5000 * MILLI);
-        group.cut.clear();
+        group.cutLinks.clear();
         group.time.advance(1000 * MILLI);
         assertThat(leader.leads()).isTrue();
         assertThat(leader.node.term()).isEqualTo(term);
     }
 
-    /** A member that slept through hundreds of entries gets one snapshot in pieces, not each entry. */
+    /** A member that was down during hundreds of entries must get one snapshot in chunks, not each entry. */
     @Test
-    void memberFarBehindGetsSnapshotInPieces() {
+    void memberFarBehindGetsSnapshotInChunks() {
         SimulatedGroup group = new SimulatedGroup(31, 3);
         group.startAll();
         SimulatedMember leader = group.awaitLeader();
-        SimulatedMember sleeper =
+        SimulatedMember lagging =
                 group.members.stream().filter(m -> m != leader).findFirst().orElseThrow();
-        sleeper.crash();
+        lagging.crash();
         for (int i = 0; i < 500; i++) {
             group.commit("c" + i);
         }
         assertThat(leader.node.log().baseIndex()).isGreaterThan(400);
-        sleeper.start();
-        group.checkAllHoldEverything();
-        assertThat(sleeper.node.log().snapshot().orElseThrow().index()).isGreaterThan(400);
+        lagging.start();
+        group.awaitAllHoldAcknowledged();
+        assertThat(lagging.node.log().snapshot().orElseThrow().index()).isGreaterThan(400);
     }
 
-    /** A proposal is refused as never to be committed only where nothing was appended; memory stays bounded. */
+    /**
+     * A proposal may be refused as never to be committed only if nothing was appended; memory use must stay bounded.
+     */
     @Test
-    void proposalsBeyondTheBoundAreNotTaken() {
+    void proposalsBeyondTheLimitAreNotAccepted() {
         SimulatedGroup group = new SimulatedGroup(41, 3);
         group.startAll();
         SimulatedMember leader = group.awaitLeader();
-        group.cutOff(leader);
+        group.isolate(leader);
         long last = leader.node.log().lastIndex();
-        int taken = 0;
+        int accepted = 0;
         for (int i = 0; i < 200; i++) {
-            taken += leader.propose("x".repeat(100)) ? 1 : 0;
+            accepted += leader.propose("x".repeat(100)) ? 1 : 0;
         }
-        assertThat(taken).isBetween(1, 60);
-        assertThat(leader.node.log().lastIndex()).isEqualTo(last + taken);
+        assertThat(accepted).isBetween(1, 60);
+        assertThat(leader.node.log().lastIndex()).isEqualTo(last + accepted);
     }
 
     /**
-     * The leader's disk is slow, so that its newest entry is only in memory when it is cut off; the others have it and go
-     * on. When the old leader hears of that entry again it must write it before it vouches for it: {@link SimulatedGroup}
-     * compares each answer with the disk.
+     * The leader's disk is slow, so that its newest entry is only in memory when it is partitioned; the others have the
+     * entry and continue. When the old leader receives that entry again, it must write it before it acknowledges it:
+     * {@link SimulatedGroup} compares each reply with the disk.
      */
     @Test
-    void entryOnlyInMemoryIsWrittenBeforeItIsVouchedFor() {
+    void entryOnlyInMemoryIsWrittenBeforeItIsAcknowledged() {
         SimulatedGroup group = new SimulatedGroup(61, 3);
         group.startAll();
         SimulatedMember old = group.awaitLeader();
@@ -198,25 +200,28 @@
         old.propose("first");
         old.propose("second");
         group.time.advance(20 * MILLI);
-        group.cutOff(old);
+        group.isolate(old);
         group.until(
                 "another leader", () -> group.leading().filter(m -> m != old).isPresent());
         old.maxSync = MILLI;
-        group.cut.clear();
+        group.cutLinks.clear();
         group.commit("third");
-        group.checkAllHoldEverything();
+        group.awaitAllHoldAcknowledged();
         old.crash();
         old.start();
         assertThat(old.node.log().lastIndex()).isGreaterThanOrEqualTo(5);
     }
 
-    /** The operator names two more voters: they learn first, are promoted one by one, and then two of five may be lost. */
+    /**
+     * The operator configures two more voters: they must become learners first and be promoted one by one, after which
+     * two of five may be lost.
+     */
     @Test
     void groupGrowsFromThreeToFive() {
         SimulatedGroup group = new SimulatedGroup(71, 3);
         group.startAll();
         group.commit("a");
-        group.nameVoters(5);
+        group.configureVoters(5);
         for (SimulatedMember member : List.copyOf(group.members)) {
             if (member.node != null) {
                 member.crash();
@@ -238,6 +243,6 @@
                 .orElseThrow()
                 .crash();
         group.commit("c");
-        group.checkAllHoldEverything();
+        group.awaitAllHoldAcknowledged();
     }
 }
--- a/library/src/test/java/org/copperspindle/consensus/SimulatedDisk.java
+++ b/library/src/test/java/org/copperspindle/consensus/SimulatedDisk.java
@@ -8,30 +8,31 @@
 import java.util.SplittableRandom;
 
 /**
- * A disk in memory that carries requests out in order and late. A crash keeps a random prefix of what was under way.
+ * A disk in memory that executes requests in order and with a delay. A crash keeps a random prefix of the pending
+ * requests.
  */
 final class SimulatedDisk {
 
     HardState hard;
     Optional<LogSnapshot> snapshot = Optional.empty();
     private final List<LogEntry> entries = new ArrayList<>();
-    private final Deque<RaftAction.Persist> underWay = new ArrayDeque<>();
+    private final Deque<RaftAction.Persist> pending = new ArrayDeque<>();
 
     void begin(RaftAction.Persist persist) {
-        underWay.addLast(persist);
+        pending.addLast(persist);
     }
 
     void finish(long sequence) {
-        while (!underWay.isEmpty() && underWay.peekFirst().sequence() <= sequence) {
-            carryOut(underWay.pollFirst().request());
+        while (!pending.isEmpty() && pending.peekFirst().sequence() <= sequence) {
+            execute(pending.pollFirst().request());
         }
     }
 
     void crash(SplittableRandom random) {
-        for (int kept = random.nextInt(underWay.size() + 1); kept > 0; kept--) {
-            carryOut(underWay.pollFirst().request());
+        for (int kept = random.nextInt(pending.size() + 1); kept > 0; kept--) {
+            execute(pending.pollFirst().request());
         }
-        underWay.clear();
+        pending.clear();
     }
 
     /** Returns the last index that a restart would find. */
@@ -52,7 +53,7 @@
                 hard, snapshot, entries.stream().filter(e -> e.index() > after).toList());
     }
 
-    private void carryOut(PersistRequest request) {
+    private void execute(PersistRequest request) {
         if (request instanceof PersistRequest.SaveHardState save) {
             hard = save.state();
         } else if (request instanceof PersistRequest.AppendEntries append) {
--- a/library/src/test/java/org/copperspindle/consensus/SimulatedGroup.java
+++ b/library/src/test/java/org/copperspindle/consensus/SimulatedGroup.java
@@ -17,8 +17,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Members of one group on virtual time, with a lossy network, disks that finish late, and clocks that drift. After every
- * step of any member the promises are checked.
+ * Members of one group in virtual time, with a lossy network, delayed disks and drifting clocks. The safety properties
+ * are checked after every step of a member.
  */
 final class SimulatedGroup {
 
@@ -29,7 +29,7 @@
     final VirtualTimerService time = new VirtualTimerService();
     final SplittableRandom random;
     final List<SimulatedMember> members = new ArrayList<>();
-    final Set<String> cut = new HashSet<>();
+    final Set<String> cutLinks = new HashSet<>();
     double loss;
     double duplicates;
     long maxDelay = 2 * MILLI;
@@ -42,25 +42,27 @@
 
     SimulatedGroup(long seed, int voters) {
         random = new SplittableRandom(seed);
-        nameVoters(voters);
+        configureVoters(voters);
     }
 
-    /** Names voters in the settings of all members, as from their next start, and adds members that are missing. */
-    void nameVoters(int voters) {
+    /**
+     * Sets the voters in the settings of all members, effective at their next start, and adds members that are missing.
+     */
+    void configureVoters(int voters) {
         List<RaftSettings.Voter> names = new ArrayList<>();
         for (int i = 0; i < voters; i++) {
             names.add(new RaftSettings.Voter("m" + i, "m" + i));
         }
         members.forEach(m -> m.settings = new RaftSettings("group", m.name, m.name, m.name, names, TIMING, LIMITS));
         for (RaftSettings.Voter voter : names.subList(members.size(), voters)) {
-            // Rates at both ends of the declared bound, where a wrong lease would show.
+            // Rates at both ends of the declared bound, where a wrong lease would become visible.
             double rate = 1 + (random.nextInt(3) - 1) * TIMING.driftPerMille() / 1000.0;
             members.add(new SimulatedMember(voter.name(), names, rate));
         }
     }
 
-    /** Lets members come and go as they are found, down to a number of voters that a removal must leave. */
-    void openMembership(int minVoters, boolean mayBootstrap) {
+    /** Makes membership dynamic, with a number of voters that a removal must leave. */
+    void useDynamicMembership(int minVoters, boolean mayBootstrap) {
         VoterSource roster = new VoterSource() {
             @Override
             public List<VoterAddress> voters() {
@@ -103,9 +105,9 @@
 
     /** Advances until a condition holds; fails after a minute of virtual time. */
     void until(String what, java.util.function.BooleanSupplier condition) {
-        long end = time.nanoTime() + 60_000 * MILLI;
+        long deadline = time.nanoTime() + 60_000 * MILLI;
         while (!condition.getAsBoolean()) {
-            assertThat(time.nanoTime()).as(what).isLessThan(end);
+            assertThat(time.nanoTime()).as(what).isLessThan(deadline);
             time.advance(MILLI);
         }
     }
@@ -115,7 +117,7 @@
         return leading().orElseThrow();
     }
 
-    /** Proposes to whoever leads and waits until it is acknowledged. */
+    /** Proposes a command to the current leader and waits until it is acknowledged. */
     void commit(String command) {
         until("acknowledged " + command, () -> {
             leading().filter(m -> !acknowledged.contains(command)).ifPresent(m -> m.propose(command));
@@ -132,27 +134,27 @@
         return acknowledged.contains(command);
     }
 
-    void cutOff(SimulatedMember member) {
-        members.forEach(other -> cut.add(link(member.name, other.name)));
-        members.forEach(other -> cut.add(link(other.name, member.name)));
+    void isolate(SimulatedMember member) {
+        members.forEach(other -> cutLinks.add(link(member.name, other.name)));
+        members.forEach(other -> cutLinks.add(link(other.name, member.name)));
     }
 
-    /** Everything acknowledged stands in the state of every member that runs, once all is calm. */
-    void checkAllHoldEverything() {
+    /** Waits until every running member's state has everything that was acknowledged. */
+    void awaitAllHoldAcknowledged() {
         until(
                 "all members equal",
                 () -> members.stream().filter(m -> m.node != null).allMatch(m -> m.state.containsAll(acknowledged)));
     }
 
-    private void check(SimulatedMember acted) {
-        if (acted.node == null) {
+    private void check(SimulatedMember acting) {
+        if (acting.node == null) {
             return;
         }
-        if (acted.node.role() == RaftRole.LEADER) {
-            Long other = leaderOfTerm.putIfAbsent(acted.node.term(), acted.node.identity());
-            assertThat(other == null ? acted.node.identity() : other)
-                    .as("leader of term " + acted.node.term())
-                    .isEqualTo(acted.node.identity());
+        if (acting.node.role() == RaftRole.LEADER) {
+            Long other = leaderOfTerm.putIfAbsent(acting.node.term(), acting.node.identity());
+            assertThat(other == null ? acting.node.identity() : other)
+                    .as("leader of term " + acting.node.term())
+                    .isEqualTo(acting.node.identity());
         }
         assertThat(members.stream().filter(SimulatedMember::leads).count())
                 .as("members that lead at " + time.nanoTime())
@@ -179,7 +181,7 @@
         private long offset = random.nextLong(1_000_000_000L);
         private final Map<Long, String> proposed = new HashMap<>();
         private SimulatedDisk disk = new SimulatedDisk();
-        private long life;
+        private long incarnation;
         private long diskFreeAt;
 
         private SimulatedMember(String name, List<RaftSettings.Voter> voters, double rate) {
@@ -192,7 +194,7 @@
             return offset + (long) (time.nanoTime() * rate);
         }
 
-        /** Lets the clock go on at another rate from here. */
+        /** Continues the clock at another rate from now on. */
         void changeRate(double next) {
             offset = now() - (long) (time.nanoTime() * next);
             rate = next;
@@ -203,27 +205,27 @@
         }
 
         void start() {
-            life++;
+            incarnation++;
             if (disk.hard == null) {
-                disk.hard = HardState.fresh(nextIdentity++, name);
+                disk.hard = HardState.initial(nextIdentity++, name);
             }
             state.clear();
             disk.snapshot.filter(s -> s.index() > 1).ifPresent(this::restore);
             diskFreeAt = time.nanoTime();
             node = new RaftNode(settings, disk.recover(), random.split(), now());
-            long current = life;
+            long current = incarnation;
             time.schedule(0, () -> tick(current));
         }
 
-        /** Ends at once; what the disk had not finished may be there in part, but nobody was told. */
+        /** Crashes the member; pending disk writes may be partly done, but were not acknowledged. */
         void crash() {
-            life++;
+            incarnation++;
             node = null;
             proposed.clear();
             disk.crash(random);
         }
 
-        /** Receives a message outside the network. */
+        /** Delivers a message directly, not through the network. */
         void receive(WireMessage message) {
             node.receive(message, now());
             run();
@@ -233,13 +235,13 @@
             disk = new SimulatedDisk();
         }
 
-        /** Gives the member the identity of its lost disk back: what must never happen. */
+        /** Loses the log but keeps the identity of the disk, which must never happen in practice. */
         void loseLogButKeepIdentity() {
             HardState old = disk.hard;
-            LogSnapshot founding = disk.snapshot.orElseThrow();
+            LogSnapshot bootstrap = disk.snapshot.orElseThrow();
             disk = new SimulatedDisk();
             disk.hard = old;
-            disk.snapshot = Optional.of(LogSnapshot.founding(founding.membership()));
+            disk.snapshot = Optional.of(LogSnapshot.bootstrap(bootstrap.membership()));
         }
 
         boolean propose(String command) {
@@ -252,31 +254,31 @@
             return index.isPresent();
         }
 
-        private void tick(long ofLife) {
-            if (ofLife != life) {
+        private void tick(long ofIncarnation) {
+            if (ofIncarnation != incarnation) {
                 return;
             }
             node.tick(now());
             run();
-            time.schedule((long) (TIMING.heartbeatNanos() / 2 / rate), () -> tick(ofLife));
+            time.schedule((long) (TIMING.heartbeatNanos() / 2 / rate), () -> tick(ofIncarnation));
         }
 
         private void run() {
             List<RaftAction> actions = node.drain();
             while (!actions.isEmpty()) {
-                actions.forEach(this::carryOut);
+                actions.forEach(this::execute);
                 actions = node.drain();
             }
             check(this);
         }
 
-        private void carryOut(RaftAction action) {
+        private void execute(RaftAction action) {
             if (action instanceof RaftAction.Send send) {
-                post(send.address(), send.message());
+                transmit(send.address(), send.message());
             } else if (action instanceof RaftAction.Persist persist) {
-                write(persist);
+                startWrite(persist);
             } else if (action instanceof RaftAction.Apply apply) {
-                applied(apply.entry());
+                applyEntry(apply.entry());
             } else if (action instanceof RaftAction.Restore restore) {
                 restore(restore.snapshot());
             } else if (action instanceof RaftAction.TakeSnapshot take) {
@@ -295,7 +297,7 @@
             }
         }
 
-        private void applied(LogEntry entry) {
+        private void applyEntry(LogEntry entry) {
             String command = new String(entry.body(), java.nio.charset.StandardCharsets.UTF_8);
             String known = committed.putIfAbsent(entry.index(), command);
             assertThat(known == null ? command : known)
@@ -307,37 +309,37 @@
             }
         }
 
-        private void write(RaftAction.Persist persist) {
+        private void startWrite(RaftAction.Persist persist) {
             disk.begin(persist);
             diskFreeAt = Math.max(diskFreeAt, time.nanoTime()) + upTo(maxSync);
-            long current = life;
+            long current = incarnation;
             long delay = syncBeforeAnswer ? diskFreeAt - time.nanoTime() : 0;
             if (!syncBeforeAnswer) {
-                time.schedule(1, () -> answered(persist, current));
+                time.schedule(1, () -> completed(persist, current));
             }
             time.schedule(delay + (syncBeforeAnswer ? 0 : 40 * MILLI), () -> synced(persist, current));
         }
 
-        private void synced(RaftAction.Persist persist, long ofLife) {
-            if (ofLife != life) {
+        private void synced(RaftAction.Persist persist, long ofIncarnation) {
+            if (ofIncarnation != incarnation) {
                 return;
             }
             disk.finish(persist.sequence());
             if (syncBeforeAnswer) {
-                answered(persist, ofLife);
+                completed(persist, ofIncarnation);
             }
         }
 
-        private void answered(RaftAction.Persist persist, long ofLife) {
-            if (ofLife != life) {
+        private void completed(RaftAction.Persist persist, long ofIncarnation) {
+            if (ofIncarnation != incarnation) {
                 return;
             }
             node.persisted(persist.sequence(), now());
             run();
         }
 
-        private void post(String to, WireMessage message) {
-            checkPromise(message);
+        private void transmit(String to, WireMessage message) {
+            checkAcknowledged(message);
             if (random.nextDouble() < loss) {
                 return;
             }
@@ -348,8 +350,8 @@
             }
         }
 
-        /** What a member says of its disk must be there after a crash in this very instant. */
-        private void checkPromise(WireMessage message) {
+        /** What a member acknowledges must be on its disk if it crashes at this moment. */
+        private void checkAcknowledged(WireMessage message) {
             if (message instanceof AppendReplyMessage reply && reply.matched()) {
                 assertThat(disk.lastIndex())
                         .as("entries on the disk of " + name)
@@ -363,8 +365,8 @@
         }
 
         private void deliver(String to, WireMessage message) {
-            // Cut at delivery: what is under way when the cut begins is lost too.
-            if (cut.contains(link(name, to))) {
+            // Checked at delivery, so that messages in flight when the link is cut are lost too.
+            if (cutLinks.contains(link(name, to))) {
                 return;
             }
             SimulatedMember receiver =
--- a/library/src/test/java/org/copperspindle/consensus/SocketMember.java
+++ b/library/src/test/java/org/copperspindle/consensus/SocketMember.java
@@ -26,24 +26,25 @@
 import org.copperspindle.wire.WireTransport;
 
 /**
- * One member with real sockets and files. Messages from members in {@code cut}, or to a member that is in it, vanish
- * while the connections stay open.
+ * One member with real sockets and files. Messages from or to members in {@code partitioned} are dropped while the
+ * connections stay open.
  */
 final class SocketMember implements ReplicatedState, PeerListener {
 
     final String name;
     final List<String> state = new CopyOnWriteArrayList<>();
     ConsensusLog log;
-    private final Set<String> cut;
+    private final Set<String> partitioned;
     private final DecisionRing ring;
     private final SystemTimerService timers;
     private final WireTransport transport;
     private final Channel listening;
 
-    SocketMember(VoterAddress self, List<VoterAddress> voters, Path folder, Set<String> cut, LogFile.Opener opener)
+    SocketMember(
+            VoterAddress self, List<VoterAddress> voters, Path folder, Set<String> partitioned, LogFile.Opener opener)
             throws IOException {
         this.name = self.name();
-        this.cut = cut;
+        this.partitioned = partitioned;
         this.ring = new DecisionRing("ring-" + name, 1024);
         this.timers = new SystemTimerService("timer-" + name, ring);
         MessageRegistry registry = WireTransport.registry();
@@ -82,7 +83,7 @@
         return onRing(log::describeMembers);
     }
 
-    /** Ends at once, as a crash would. */
+    /** Stops at once, as in a crash. */
     void kill() {
         listening.close().awaitUninterruptibly();
         log.close();
@@ -113,7 +114,8 @@
 
     @Override
     public boolean onMessage(Peer peer, WireMessage message) {
-        boolean lost = cut.contains(name) || cut.contains(peer.greeting().processId());
+        boolean lost = partitioned.contains(name)
+                || partitioned.contains(peer.greeting().processId());
         return lost || log.onMessage(peer, message);
     }
 
@@ -122,9 +124,9 @@
         return true;
     }
 
-    private <T> T onRing(Supplier<T> question) {
+    private <T> T onRing(Supplier<T> query) {
         CompletableFuture<T> answer = new CompletableFuture<>();
-        ring.execute(() -> answer.complete(question.get()));
+        ring.execute(() -> answer.complete(query.get()));
         return answer.orTimeout(30, TimeUnit.SECONDS).join();
     }
 
