--- a/library/src/main/java/org/copperspindle/consensus/ConsensusLog.java
+++ b/library/src/main/java/org/copperspindle/consensus/ConsensusLog.java
@@ -59,8 +59,8 @@
         this.timers = timers;
         this.state = state;
         this.settings = settings;
-        long silence = SILENT_ELECTION_TIMEOUTS * settings.timing().electionNanos();
-        this.links = new MemberLinks(ring, timers, transport, silence, this::receiveReply);
+        long maxSilenceNanos = SILENT_ELECTION_TIMEOUTS * settings.timing().electionNanos();
+        this.links = new MemberLinks(ring, timers, transport, maxSilenceNanos, this::receiveReply);
         SplittableRandom random = new SplittableRandom(recovered.hardState().identity());
         this.node = new RaftNode(settings, recovered, random, timers.nanoTime());
         this.disk = new DiskWorker(
@@ -204,9 +204,9 @@
      * @return false if this member doesn't lead, the other is unknown, or the group would lose its quorum
      */
     public boolean remove(String name) {
-        boolean[] taken = new boolean[1];
-        step(() -> taken[0] = node.remove(name, timers.nanoTime()));
-        return taken[0];
+        boolean[] accepted = new boolean[1];
+        step(() -> accepted[0] = node.remove(name, timers.nanoTime()));
+        return accepted[0];
     }
 
     @Override
--- a/library/src/main/java/org/copperspindle/consensus/FollowerAppends.java
+++ b/library/src/main/java/org/copperspindle/consensus/FollowerAppends.java
@@ -18,8 +18,8 @@
         if (!matches(request.prevIndex(), request.prevTerm())) {
             long hint = Math.min(request.prevIndex() - 1, state.log().lastIndex());
             // Committed entries are equal on both sides, so a match is found there at the latest.
-            boolean behind = state.log().lastIndex() < request.prevIndex();
-            reply(request, false, behind ? hint : Math.min(hint, state.commit()), state.hardStateSequence());
+            boolean shorter = state.log().lastIndex() < request.prevIndex();
+            reply(request, false, shorter ? hint : Math.min(hint, state.commit()), state.hardStateSequence());
             return;
         }
         appendNew(request.entries());
--- a/library/src/main/java/org/copperspindle/consensus/MembershipChanges.java
+++ b/library/src/main/java/org/copperspindle/consensus/MembershipChanges.java
@@ -126,13 +126,14 @@
      * partitioned or stopped asks to join when it is back.
      */
     private Optional<Membership> removeSilent(long now) {
-        long silent = SILENT_ELECTION_TIMEOUTS * state.settings().timing().electionNanos();
+        long maxSilenceNanos =
+                SILENT_ELECTION_TIMEOUTS * state.settings().timing().electionNanos();
         if (state.membership().voters().size() <= state.settings().voterSource().minVoters()) {
             return Optional.empty();
         }
         return state.membership().voters().stream()
                 .filter(m -> m.identity() != state.identity()
-                        && !replication.hasHeardFrom(m, now, silent)
+                        && !replication.hasHeardFrom(m, now, maxSilenceNanos)
                         && keepsQuorum(m, now))
                 .findFirst()
                 .map(gone -> {
@@ -151,9 +152,10 @@
     }
 
     private boolean mayBeReplaced(Member predecessor, long now) {
-        long silent = SILENT_ELECTION_TIMEOUTS * state.settings().timing().electionNanos();
+        long maxSilenceNanos =
+                SILENT_ELECTION_TIMEOUTS * state.settings().timing().electionNanos();
         return predecessor.identity() != state.identity()
-                && !replication.hasHeardFrom(predecessor, now, silent)
+                && !replication.hasHeardFrom(predecessor, now, maxSilenceNanos)
                 && keepsQuorum(predecessor, now);
     }
 
--- a/library/src/main/java/org/copperspindle/consensus/RaftState.java
+++ b/library/src/main/java/org/copperspindle/consensus/RaftState.java
@@ -34,8 +34,8 @@
     RaftState(RaftSettings settings, RecoveredState recovered, long now) {
         this.settings = settings;
         this.hard = recovered.hardState();
-        // A restarted member doesn't know which leader it last heard: it behaves as if it had just heard one, and gives
-        // no vote while a lease that it supported may still be running.
+        // A restarted member doesn't know which leader lease it supported before: it behaves as if it had just heard a
+        // leader, and gives no vote while such a lease may still be running.
         this.leaderSeenAt = now;
         recovered.snapshot().ifPresent(s -> {
             log.reset(s);
--- a/library/src/main/java/org/copperspindle/consensus/Replication.java
+++ b/library/src/main/java/org/copperspindle/consensus/Replication.java
@@ -115,8 +115,8 @@
         if (state.role() != RaftRole.LEADER || state.applied() < firstOfTerm) {
             return false;
         }
-        long answered = state.membership().reachedByQuorum(m -> ackedRequestSentAt(m, now));
-        return now - answered < state.settings().timing().leaseNanos();
+        long ackedSince = state.membership().reachedByQuorum(m -> ackedRequestSentAt(m, now));
+        return now - ackedSince < state.settings().timing().leaseNanos();
     }
 
     /** Returns whether an entry of this term is committed, which changes of membership require. */
--- a/library/src/main/java/org/copperspindle/consensus/VoterSource.java
+++ b/library/src/main/java/org/copperspindle/consensus/VoterSource.java
@@ -16,8 +16,8 @@
     List<VoterAddress> voters();
 
     /**
-     * Returns whether a group may be bootstrapped now. A member that lost its disk must not bootstrap a second group
-     * besides the one that it no longer knows.
+     * Returns whether a group may be bootstrapped now. A member that lost its disk must not bootstrap a second group in
+     * addition to the one that it no longer knows.
      *
      * @return false if this member may only join
      */
--- a/library/src/main/java/org/copperspindle/control/ControlService.java
+++ b/library/src/main/java/org/copperspindle/control/ControlService.java
@@ -303,10 +303,10 @@
     /** Removes upstreams whose agent has never contacted this leader, or whose announcement was late. */
     private void removeUnleased() {
         Set<String> leased = members.leasedUpstreams(timers.nanoTime());
-        List<UpstreamAnnouncement> gone = state.upstreams().all().values().stream()
+        List<UpstreamAnnouncement> unleased = state.upstreams().all().values().stream()
                 .filter(u -> !leased.contains(u.upstreamId()))
                 .toList();
-        gone.forEach(u -> remove(new RemoveUpstreamCommand(u.upstreamId(), u.incarnation(), false)));
+        unleased.forEach(u -> remove(new RemoveUpstreamCommand(u.upstreamId(), u.incarnation(), false)));
     }
 
     /**
--- a/library/src/main/java/org/copperspindle/control/ControlStatusReport.java
+++ b/library/src/main/java/org/copperspindle/control/ControlStatusReport.java
@@ -53,11 +53,11 @@
     private Map<String, ControlStatus.PoolStatus> pools() {
         Map<String, ControlStatus.PoolStatus> pools = new TreeMap<>();
         for (UpstreamAnnouncement upstream : state.upstreams().all().values()) {
-            ControlStatus.PoolStatus one =
+            ControlStatus.PoolStatus status =
                     new ControlStatus.PoolStatus(upstream.draining() ? 0 : 1, upstream.draining() ? 1 : 0);
             pools.merge(
                     upstream.pool(),
-                    one,
+                    status,
                     (a, b) -> new ControlStatus.PoolStatus(a.serving() + b.serving(), a.draining() + b.draining()));
         }
         return pools;
--- a/library/src/main/java/org/copperspindle/control/MemberTable.java
+++ b/library/src/main/java/org/copperspindle/control/MemberTable.java
@@ -67,9 +67,10 @@
     }
 
     List<Member> removeGone(long now) {
-        List<Member> gone = members.values().stream().filter(m -> m.isGone(now)).toList();
-        gone.forEach(m -> leave(m.peer()));
-        return gone;
+        List<Member> expired =
+                members.values().stream().filter(m -> m.isGone(now)).toList();
+        expired.forEach(m -> leave(m.peer()));
+        return expired;
     }
 
     /**
--- a/library/src/main/java/org/copperspindle/membership/ControlLink.java
+++ b/library/src/main/java/org/copperspindle/membership/ControlLink.java
@@ -329,9 +329,9 @@
     private Optional<byte[]> patchedText(byte[] encoded) {
         try {
             ConfigPatch patch = ConfigPatch.CODEC.decode(encoded);
-            boolean whole = patch.baseVersion() == 0;
-            return whole || patch.baseVersion() == textVersion
-                    ? patch.apply(whole ? new byte[0] : text)
+            boolean isFullText = patch.baseVersion() == 0;
+            return isFullText || patch.baseVersion() == textVersion
+                    ? patch.apply(isFullText ? new byte[0] : text)
                     : Optional.empty();
         } catch (MalformedFrameException | IllegalArgumentException e) {
             return Optional.empty();
--- a/library/src/main/java/org/copperspindle/membership/UpstreamTable.java
+++ b/library/src/main/java/org/copperspindle/membership/UpstreamTable.java
@@ -82,8 +82,8 @@
     public long newestIncarnation(String upstreamId) {
         UpstreamAnnouncement known = upstreams.get(upstreamId);
         UpstreamTombstone tombstone = tombstones.get(upstreamId);
-        long alive = known == null ? 0 : known.incarnation();
-        return tombstone == null ? alive : Math.max(alive, tombstone.incarnation());
+        long current = known == null ? 0 : known.incarnation();
+        return tombstone == null ? current : Math.max(current, tombstone.incarnation());
     }
 
     /**
@@ -190,7 +190,7 @@
     private MembershipDelta delta(long memberRevision) {
         Set<String> changedIds = new LinkedHashSet<>();
         Iterator<String> newest = changes.descendingIterator();
-        for (long left = revision - memberRevision; left > 0; left--) {
+        for (long remaining = revision - memberRevision; remaining > 0; remaining--) {
             changedIds.add(newest.next());
         }
         List<byte[]> encoded = new ArrayList<>();
--- a/library/src/test/java/org/copperspindle/consensus/DynamicMembershipTest.java
+++ b/library/src/test/java/org/copperspindle/consensus/DynamicMembershipTest.java
@@ -24,9 +24,9 @@
     @ValueSource(longs = {1, 2, 3})
     void unresponsiveVoterIsRemovedAndComesBack(long seed) {
         SimulatedGroup group = start(seed, 4, 3);
-        SimulatedMember gone = other(group);
-        long identity = gone.node.identity();
-        group.isolate(gone);
+        SimulatedMember unresponsive = other(group);
+        long identity = unresponsive.node.identity();
+        group.isolate(unresponsive);
         group.until("removed", () -> !currentLeader(group).node.membership().hasVoter(identity));
         SimulatedMember second = other(group);
         group.isolate(second);
@@ -102,8 +102,8 @@
     @Test
     void unresponsiveVoterStaysWithoutAReplacement() {
         SimulatedGroup group = start(5, 3, 3);
-        SimulatedMember gone = other(group);
-        gone.crash();
+        SimulatedMember unresponsive = other(group);
+        unresponsive.crash();
         group.time.advance(5_000 * SimulatedGroup.MILLI);
         assertThat(currentLeader(group).node.membership().voters()).hasSize(3);
     }
--- a/library/src/test/java/org/copperspindle/control/ControlStateTest.java
+++ b/library/src/test/java/org/copperspindle/control/ControlStateTest.java
@@ -34,21 +34,22 @@
      * with the others after the next failover.
      */
     @Property(seed = "4711", tries = 200)
-    void restoredMemberGivesTheSameResultsAsTheOthers(@ForAll("commands") List<WireMessage> commands, @ForAll int cut) {
-        ControlState whole = new ControlState();
+    void restoredMemberGivesTheSameResultsAsTheOthers(
+            @ForAll("commands") List<WireMessage> commands, @ForAll int snapshotAt) {
+        ControlState reference = new ControlState();
         ControlState restored = new ControlState();
-        int at = Math.floorMod(cut, commands.size() + 1);
+        int at = Math.floorMod(snapshotAt, commands.size() + 1);
         for (int i = 0; i < at; i++) {
-            whole.apply(i, 1, whole.encode(commands.get(i)));
+            reference.apply(i, 1, reference.encode(commands.get(i)));
         }
-        restored.restore(whole.snapshot());
+        restored.restore(reference.snapshot());
         for (int i = at; i < commands.size(); i++) {
-            byte[] command = whole.encode(commands.get(i));
-            assertThat(restored.apply(i, 1, command)).isEqualTo(whole.apply(i, 1, command));
+            byte[] command = reference.encode(commands.get(i));
+            assertThat(restored.apply(i, 1, command)).isEqualTo(reference.apply(i, 1, command));
         }
-        assertThat(restored.snapshot()).isEqualTo(whole.snapshot());
-        assertThat(restored.config().text()).isEqualTo(whole.config().text());
-        assertThat(restored.upstreams().all()).isEqualTo(whole.upstreams().all());
+        assertThat(restored.snapshot()).isEqualTo(reference.snapshot());
+        assertThat(restored.config().text()).isEqualTo(reference.config().text());
+        assertThat(restored.upstreams().all()).isEqualTo(reference.upstreams().all());
     }
 
     @Provide
--- a/library/src/test/java/org/copperspindle/membership/RateShareScheduleTest.java
+++ b/library/src/test/java/org/copperspindle/membership/RateShareScheduleTest.java
@@ -131,8 +131,8 @@
     }
 
     private void run(long nanos) {
-        for (long left = nanos; left > 0; left -= CHECK_NANOS) {
-            deployment.time.advance(Math.min(left, CHECK_NANOS));
+        for (long remaining = nanos; remaining > 0; remaining -= CHECK_NANOS) {
+            deployment.time.advance(Math.min(remaining, CHECK_NANOS));
             long sum = deployment.members.values().stream()
                     .filter(this::isInUse)
                     .mapToLong(m -> m.link.rateShare())
