--- /dev/null
+++ b/library/src/main/java/org/copperspindle/gateway/ControlGroupClient.java
@@ -0,0 +1,73 @@
+package org.copperspindle.gateway;
+
+import java.util.Optional;
+import java.util.concurrent.Executor;
+import java.util.function.Consumer;
+
+import org.copperspindle.version.VersionExchange;
+import org.copperspindle.version.VersionMember;
+import org.copperspindle.version.VersionMessage;
+import org.copperspindle.version.VersionResult;
+
+/**
+ * Submits operators' requests to this node's member of the control group if it is the leader, and names the leader
+ * otherwise. Runs on the network thread only, and callbacks run there as well.
+ */
+final class ControlGroupClient {
+
+    private final VersionExchange versionExchange;
+    private final Executor network;
+
+    ControlGroupClient(VersionExchange versionExchange, Executor network) {
+        this.versionExchange = versionExchange;
+        this.network = network;
+    }
+
+    /**
+     * Submits a request.
+     *
+     * @param request  the request to the member
+     * @param callback receives the response
+     */
+    void submit(MemberRequest request, Consumer<ControlResponse> callback) {
+        Optional<VersionMember> member = versionExchange.member();
+        if (member.isPresent() && versionExchange.status().leads()) {
+            request.submit(member.get(), ended -> network.execute(() -> callback.accept(toResponse(ended))));
+        } else {
+            callback.accept(redirectToLeader());
+        }
+    }
+
+    private ControlResponse toResponse(VersionResult result) {
+        if (result instanceof VersionResult.Recorded recorded) {
+            return new ControlResponse.Recorded(
+                    recorded.held().version(), recorded.held().newestVersion().map(VersionMessage::text));
+        }
+        if (result instanceof VersionResult.Refused refused) {
+            return new ControlResponse.Invalid(refused.reason());
+        }
+        if (result instanceof VersionResult.NotLeading) {
+            return redirectToLeader();
+        }
+        return new ControlResponse.Unavailable("the leader changed meanwhile; the outcome is not known");
+    }
+
+    private ControlResponse redirectToLeader() {
+        return versionExchange
+                .leaderControl()
+                .<ControlResponse>map(ControlResponse.Elsewhere::new)
+                .orElseGet(() -> new ControlResponse.Unavailable("no leader is known"));
+    }
+
+    /** A request to the member that leads. */
+    @FunctionalInterface
+    interface MemberRequest {
+        /**
+         * Submits the request.
+         *
+         * @param member the member
+         * @param ended  receives the result, on the member's own thread
+         */
+        void submit(VersionMember member, Consumer<VersionResult> ended);
+    }
+}
