--- a/library/src/main/java/org/copperspindle/dialect/EvacuationEndpoint.java
+++ b/library/src/main/java/org/copperspindle/dialect/EvacuationEndpoint.java
@@ -96,7 +96,7 @@
         if (name.isEmpty() || name.getBytes(StandardCharsets.UTF_8).length > MAX_NAME_BYTES) {
             respondInvalid(exchange, "the name of a failure domain has 1 to " + MAX_NAME_BYTES + " bytes");
         } else if (exchange.body().length > 0) {
-            respondInvalid(exchange, "a request to evacuate a failure domain must not have a body");
+            respondInvalid(exchange, "an order on a failure domain has no body");
         } else {
             handler.submit(new EvacuationCommand(name, begins), result -> respond(exchange, name, begins, result));
         }
--- a/library/src/main/java/org/copperspindle/dialect/QuarantinedRequestsEndpoint.java
+++ b/library/src/main/java/org/copperspindle/dialect/QuarantinedRequestsEndpoint.java
@@ -40,7 +40,7 @@
             lift(exchange, exchange.path().substring(PATH.length() + 1));
         } else {
             HttpControlEndpoint.respond(
-                    exchange, METHOD_NOT_ALLOWED, errorBody("GET lists, DELETE of one lifts its quarantine"));
+                    exchange, METHOD_NOT_ALLOWED, errorBody("GET lists, DELETE of one lifts its hold"));
         }
     }
 
--- a/library/src/main/java/org/copperspindle/dialect/StandardTableReader.java
+++ b/library/src/main/java/org/copperspindle/dialect/StandardTableReader.java
@@ -106,7 +106,7 @@
         for (int number = 0; file.has("stage " + route + '/' + number); number++) {
             SettingsSection s = file.section("stage " + route + '/' + number);
             stages.add(new RouteStage(
-                    s.getString("pool", "a pool whose upstreams run pieces"),
+                    s.getString("pool", "a pool whose upstreams make pieces"),
                     after(s),
                     s.getBytes("result-size", Optional.empty())));
             s.finish();
--- a/library/src/main/java/org/copperspindle/gateway/GatewayMetrics.java
+++ b/library/src/main/java/org/copperspindle/gateway/GatewayMetrics.java
@@ -41,7 +41,7 @@
     private MetricsRegistry createRegistry() {
         MetricsRegistry metrics = new MetricsRegistry();
         registry = Optional.of(metrics);
-        gauge(metrics, "ready", "1 while the node accepts new requests", n -> n.isReady() ? 1 : 0);
+        gauge(metrics, "ready", "1 while the node takes new callers", n -> n.isReady() ? 1 : 0);
         gauge(
                 metrics,
                 "lease.held",
@@ -50,12 +50,12 @@
         gauge(
                 metrics,
                 "config.version",
-                "Configuration version held, in force or not",
+                "Version held, in force or not",
                 n -> n.versionHolder().version());
         gauge(
                 metrics,
                 "domains.evacuated",
-                "Failure domains that are evacuated",
+                "Failure domains whose upstreams get nothing",
                 n -> n.versionHolder().evacuations().failureDomains().size());
         gauge(
                 metrics,
@@ -81,12 +81,12 @@
         gauge(
                 metrics,
                 "requests.held",
-                "Requests deferred before their first stage",
+                "Requests held before their first stage",
                 n -> n.stageAdmission().deferredCount());
         gauge(
                 metrics,
                 "pieces.waiting",
-                "Pieces that wait at this node for an upstream",
+                "Pieces that wait here for an upstream",
                 n -> n.batches().waitingPieces());
         gauge(
                 metrics,
@@ -96,38 +96,38 @@
         gauge(
                 metrics,
                 "requests.suspected",
-                "Requests whose runs terminated upstreams, quarantined or not",
+                "Requests under which upstreams ended, held off or not",
                 n -> n.quarantine().trackedRequests());
         gauge(
                 metrics,
                 "requests.held.off",
-                "Requests that are quarantined because upstreams terminated while running them",
+                "Requests that are held off because upstreams ended under them",
                 n -> n.quarantine().quarantined().size());
         metrics.counter(
                 "permits.unanswered",
-                "Permit requests that got no response",
+                "Questions for a permit to send that got no answer",
                 node,
                 n -> n.permits().unanswered());
         metrics.counter(
                 "upstreams.ended",
-                "Upstreams that terminated during runs of this node",
+                "Upstreams that ended under runs of this node",
                 node,
                 n -> n.quarantine().terminatedUpstreams());
         gauge(
                 metrics,
                 "upstreams.limited",
-                "Upstreams that have announced a limit on requests per second from all nodes",
+                "Upstreams that have named how many requests a second they take from all nodes together",
                 n -> n.limits().count());
         gauge(
                 metrics,
                 "upstreams.at.rest",
-                "Upstreams that have requested a backoff of this node",
+                "Upstreams that want nothing from this node for a while",
                 n -> n.backoffs().count(System.nanoTime()));
         gauge(metrics, "heap.bytes", "Heap in use", n -> usedHeap());
         metrics.counter("attempts", "Attempts sent", node, n -> n.counters().attempts());
         metrics.counter(
                 "attempt.repeats",
-                "Attempts after the first",
+                "Attempts beyond the first",
                 node,
                 n -> n.counters().retries());
         metrics.counter("upstream.connects", "Connections opened to upstreams", node, NodeState::connects);
@@ -167,7 +167,7 @@
         publishReasons(
                 metrics,
                 "announcements.ignored",
-                "Announcements that do not identify an upstream",
+                "Announcements that name no upstream",
                 node.ignoredAnnouncements().counts());
         node.counters()
                 .durations()
@@ -196,42 +196,42 @@
     private void publishPool(MetricsRegistry metrics, String pool) {
         metrics.gauge(
                 "upstreams.ready",
-                "Upstreams that accept requests",
+                "Upstreams that take requests",
                 node,
                 n -> n.directory().ready(pool).size(),
                 "pool",
                 pool);
         metrics.gauge(
                 "upstreams.cold",
-                "Upstreams that are cold and sustain few requests",
+                "Upstreams that bear few requests for a while",
                 node,
                 n -> n.directory().countCold(pool, System.nanoTime()),
                 "pool",
                 pool);
         metrics.gauge(
                 "pool.wait.seconds",
-                "Time until new pieces begin, as estimated by this node",
+                "Time until new pieces begin, as this node knows it",
                 node,
                 n -> n.batches().load(pool).waitNanos() / 1e9,
                 "pool",
                 pool);
         metrics.counter(
                 "stage.busy.seconds",
-                "Time of upstreams in calls that this node batched: the cost of a stage",
+                "Time of upstreams in calls that this node packed: what a stage costs",
                 node,
                 n -> n.batches().work(pool).busySeconds(),
                 "pool",
                 pool);
         metrics.counter(
                 "stage.pieces",
-                "Pieces completed in calls that this node batched",
+                "Pieces made in calls that this node packed",
                 node,
                 n -> n.batches().work(pool).pieces(),
                 "pool",
                 pool);
         metrics.gauge(
                 "retries.left",
-                "Retries that this node may still send in the window",
+                "Repeats that this node may still send in the window",
                 node,
                 n -> n.retryBudget().remaining(pool, System.nanoTime()),
                 "pool",
--- a/library/src/main/java/org/copperspindle/gateway/Refusal.java
+++ b/library/src/main/java/org/copperspindle/gateway/Refusal.java
@@ -50,12 +50,12 @@
 
     /** All upstreams that could take the request back off, or have used up their limit. */
     static Refusal backpressure(Duration retryAfter) {
-        return unavailable("upstreams-in-need", "the upstreams of the pool accept no requests at present", retryAfter);
+        return unavailable("upstreams-in-need", "the upstreams of the pool take no more requests now", retryAfter);
     }
 
     static Refusal failed(String reason) {
         return new Refusal(
-                BAD_GATEWAY, "the upstream gave no complete response", new MayHaveRunVerdict(reason), Optional.empty());
+                BAD_GATEWAY, "the upstream gave no whole answer", new MayHaveRunVerdict(reason), Optional.empty());
     }
 
     /**
@@ -66,15 +66,12 @@
      */
     static Refusal crashesUpstreams(boolean mayHaveRun) {
         Verdict verdict = mayHaveRun ? new MayHaveRunVerdict(CRASHES_UPSTREAMS) : new NotRunVerdict(CRASHES_UPSTREAMS);
-        return new Refusal(BAD_REQUEST, "upstreams crashed each time they ran this request", verdict, Optional.empty());
+        return new Refusal(BAD_REQUEST, "upstreams ended each time they ran this request", verdict, Optional.empty());
     }
 
     static Refusal timedOut() {
         return new Refusal(
-                GATEWAY_TIMEOUT,
-                "the deadline of the request has passed",
-                new MayHaveRunVerdict("timeout"),
-                Optional.empty());
+                GATEWAY_TIMEOUT, "the time of the request is over", new MayHaveRunVerdict("timeout"), Optional.empty());
     }
 
     /** Sends the refusal as the response to a request. */
--- a/library/src/main/java/org/copperspindle/gateway/RequestRun.java
+++ b/library/src/main/java/org/copperspindle/gateway/RequestRun.java
@@ -159,7 +159,7 @@
         }
         if (context.isolation().isIsolated()) {
             // A partitioned node would batch calls by itself and compete with the nodes that work without it.
-            refuse(unavailable("cut-off", "this node cannot reach the other nodes"));
+            refuse(unavailable("cut-off", "this node does not reach the others"));
             return;
         }
         long now = context.timers().nanoTime();
@@ -185,7 +185,7 @@
         } else {
             refuse(Refusal.unavailable(
                     "stages-full",
-                    "the stages have no capacity for the request in its time",
+                    "the stages have no room for the request in its time",
                     context.retryAfterDelays()
                             .afterBurst(deadlineAt - context.timers().nanoTime())));
         }
@@ -330,7 +330,7 @@
         } else if (mayHaveRun) {
             refuse(Refusal.failed(reason));
         } else {
-            refuse(unavailable(reason, "the upstream did not accept the request"));
+            refuse(unavailable(reason, "the upstream did not take the request"));
         }
     }
 
@@ -363,7 +363,7 @@
         } else if (mayHaveRun || attempt.isPresent()) {
             refuse(Refusal.timedOut());
         } else {
-            refuse(unavailable("timeout", "the deadline of the request has passed"));
+            refuse(unavailable("timeout", "the time of the request is over"));
         }
     }
 
--- a/library/src/test/java/org/copperspindle/batch/PoolDispatcherTest.java
+++ b/library/src/test/java/org/copperspindle/batch/PoolDispatcherTest.java
@@ -170,7 +170,7 @@
     void largeInputsAreFetchedWithinTheirFailureDomain() {
         upstream("near", "d1");
         upstream("far", "d2");
-        upstream("producer", "d1");
+        upstream("maker", "d1");
         // Both stage upstreams are free; the producer of the inputs is in the failure domain of one of them.
         IntStream.range(0, 4).forEach(i -> {
             add(follower("10.0.0.3:1/x", 200_000));
--- a/library/src/test/java/org/copperspindle/gateway/UpstreamChooserTest.java
+++ b/library/src/test/java/org/copperspindle/gateway/UpstreamChooserTest.java
@@ -50,7 +50,7 @@
     UpstreamChooserTest() {
         // Nine engines in three failure domains, and the producer of stage results in the second.
         IntStream.range(0, 9).forEach(i -> announce("e" + i, "p", "10.0.0." + i + ":1", "d" + i % 3));
-        announce("producer", "s", "10.0.1.1:1", "d1");
+        announce("maker", "s", "10.0.1.1:1", "d1");
     }
 
     /** Requests with the same shared prompt part go to the engine that has read it. */
