--- a/library/src/main/java/org/copperspindle/dialect/JsonStagePort.java
+++ b/library/src/main/java/org/copperspindle/dialect/JsonStagePort.java
@@ -65,12 +65,12 @@
     }
 
     @Override
-    public void free(UpstreamRecord upstream, List<String> handles, Runnable ended) {
+    public void free(UpstreamRecord upstream, List<String> handles, Runnable callback) {
         ResponseReader reader = new ResponseReader(0, result -> {
             if (!(result instanceof StageCallResult.Answered)) {
                 LOGGER.debug("event=results-not-freed upstream={} result={}", upstream.id(), result);
             }
-            ended.run();
+            callback.run();
         });
         call(upstream, format.freePath(), format.writeFreed(handles), RELEASE_TIMEOUT_MILLIS, reader);
     }
--- a/library/src/main/java/org/copperspindle/dialect/StandardTableReader.java
+++ b/library/src/main/java/org/copperspindle/dialect/StandardTableReader.java
@@ -76,7 +76,7 @@
                 s.getDuration("timeout", Optional.empty()),
                 s.getDuration("objective", Optional.empty()),
                 (int) s.getLong("rank", 0, MAX_RANK, Optional.of(0L)),
-                weights(s),
+                weightedPools(s),
                 (int) s.getLong("max-attempts", 1, MAX_ATTEMPTS, Optional.of(1L)),
                 stages(file, s.subject()),
                 s.getBoolean("open", Optional.of(false)),
@@ -87,7 +87,7 @@
     }
 
     /** Reads pools written as {@code a:90, b:10}; one without a weight has weight 1. */
-    private static List<WeightedPool> weights(SettingsSection s) {
+    private static List<WeightedPool> weightedPools(SettingsSection s) {
         String expected = "POOL:WEIGHT of each pool, separated by commas";
         List<WeightedPool> pools = new ArrayList<>();
         for (String text : s.getList("pools", expected, Optional.empty())) {
@@ -107,14 +107,14 @@
             SettingsSection s = file.section("stage " + route + '/' + number);
             stages.add(new RouteStage(
                     s.getString("pool", "a pool whose upstreams run pieces"),
-                    after(s),
+                    predecessors(s),
                     s.getBytes("result-size", Optional.empty())));
             s.finish();
         }
         return stages;
     }
 
-    private static List<Integer> after(SettingsSection s) {
+    private static List<Integer> predecessors(SettingsSection s) {
         String expected = "numbers of stages, separated by commas";
         List<Integer> after = new ArrayList<>();
         for (String text : s.getList("after", expected, Optional.of(List.of()))) {
@@ -133,21 +133,21 @@
         UpstreamPool pool = new UpstreamPool(
                 s.subject(),
                 (int) s.getLong("max-connections", 1, MAX_COUNT, Optional.of(100L)),
-                maxPieces > 0 ? Optional.of(batch(s, maxPieces)) : Optional.empty(),
+                maxPieces > 0 ? Optional.of(batchLimits(s, maxPieces)) : Optional.empty(),
                 engineSlots > 0 ? OptionalInt.of(engineSlots) : OptionalInt.empty(),
-                cold(s));
+                coldLimits(s));
         s.finish();
         return pool;
     }
 
     /** Reads the limits of cold upstreams; without a rate, cold upstreams sustain as much as others. */
-    private static Optional<ColdLimits> cold(SettingsSection s) {
+    private static Optional<ColdLimits> coldLimits(SettingsSection s) {
         double perSecond = s.getDouble("cold-per-second", 0, MAX_COUNT, Optional.of(0.0));
         Duration time = s.getDuration("cold-time", Optional.of(Duration.ZERO));
         return ColdLimits.ofRate(time, perSecond);
     }
 
-    private static BatchLimits batch(SettingsSection s, int maxPieces) {
+    private static BatchLimits batchLimits(SettingsSection s, int maxPieces) {
         return new BatchLimits(
                 (int) s.getLong("calls-at-once", 1, MAX_COUNT, Optional.of(1L)),
                 (int) s.getLong("calls-waiting", 0, MAX_COUNT, Optional.of(0L)),
--- a/library/src/main/java/org/copperspindle/direct/DirectConnection.java
+++ b/library/src/main/java/org/copperspindle/direct/DirectConnection.java
@@ -74,8 +74,8 @@
     }
 
     /**
-     * Returns whether another call may be sent on it: it has been idle for less than half of the time that the
-     * upstream allows.
+     * Returns whether another call may be sent on this connection: it has been idle for less than half of the time
+     * that the upstream allows.
      */
     boolean isFresh(long now) {
         return channel.isActive() && now - idleSince < idleTimeoutNanos / 2;
--- a/library/src/main/java/org/copperspindle/direct/DirectFailure.java
+++ b/library/src/main/java/org/copperspindle/direct/DirectFailure.java
@@ -8,6 +8,6 @@
  *                       what it received
  * @param possiblyStale  true if the call was sent on a kept connection and nothing was received on it: the upstream
  *                       may have been gone before
- * @param reason         short cause
+ * @param reason         short description of the cause
  */
 public record DirectFailure(boolean sent, boolean connectionLost, boolean possiblyStale, String reason) {}
--- a/library/src/main/java/org/copperspindle/gateway/ControlGroupClient.java
+++ b/library/src/main/java/org/copperspindle/gateway/ControlGroupClient.java
@@ -32,7 +32,7 @@
     void submit(MemberRequest request, Consumer<ControlResponse> callback) {
         Optional<VersionMember> member = versionExchange.member();
         if (member.isPresent() && versionExchange.status().leads()) {
-            request.submit(member.get(), ended -> network.execute(() -> callback.accept(toResponse(ended))));
+            request.submit(member.get(), result -> network.execute(() -> callback.accept(toResponse(result))));
         } else {
             callback.accept(redirectToLeader());
         }
@@ -65,9 +65,9 @@
         /**
          * Submits the request.
          *
-         * @param member the member
-         * @param ended  receives the result, on the member's own thread
+         * @param member   the member
+         * @param callback receives the result, on the member's own thread
          */
-        void submit(VersionMember member, Consumer<VersionResult> ended);
+        void submit(VersionMember member, Consumer<VersionResult> callback);
     }
 }
--- a/library/src/main/java/org/copperspindle/gateway/ControlRequestHandler.java
+++ b/library/src/main/java/org/copperspindle/gateway/ControlRequestHandler.java
@@ -88,7 +88,8 @@
      * Records that an upstream leaves; this has been sent to all nodes when this returns.
      *
      * @param id          its id
-     * @param incarnation the terminated incarnation; {@link UpstreamRecord#UNKNOWN_INCARNATION} for the one known here
+     * @param incarnation the incarnation that leaves; {@link UpstreamRecord#UNKNOWN_INCARNATION} for the one known
+     *                    here
      */
     public void onDeparture(String id, long incarnation) {
         gossip.onLeft(id, incarnation, "deregistered");
--- a/library/src/main/java/org/copperspindle/gateway/EvacuationRequestHandler.java
+++ b/library/src/main/java/org/copperspindle/gateway/EvacuationRequestHandler.java
@@ -40,7 +40,7 @@
             callback.accept(new ControlResponse.Invalid("no failure domain of that name"));
             return;
         }
-        controlGroup.submit((member, ended) -> member.evacuate(command, ended), result -> {
+        controlGroup.submit((member, outcome) -> member.evacuate(command, outcome), result -> {
             LOGGER.info(
                     "event=evacuation-asked domain={} begins={} result={}",
                     command.failureDomain(),
--- a/library/src/main/java/org/copperspindle/gateway/GatewayMetrics.java
+++ b/library/src/main/java/org/copperspindle/gateway/GatewayMetrics.java
@@ -15,8 +15,8 @@
 import org.copperspindle.route.UpstreamPool;
 
 /**
- * Serves a node's metrics on the network thread, which counts them as well. The registry is created at the first
- * scrape: most nodes are never scraped, and a restart should not spend time on it.
+ * Serves the metrics of a node on the network thread, where they are counted as well. The registry is created at the
+ * first scrape: most nodes are never scraped, and a restart should not spend time on it.
  */
 final class GatewayMetrics implements HttpRequestHandler {
 
--- a/library/src/main/java/org/copperspindle/gateway/GatewayNode.java
+++ b/library/src/main/java/org/copperspindle/gateway/GatewayNode.java
@@ -98,9 +98,9 @@
     private static final int UNAVAILABLE = 503;
 
     private final GatewaySettings settings;
-    private final MultiThreadIoEventLoopGroup group =
+    private final MultiThreadIoEventLoopGroup eventLoops =
             new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("network", true), NioIoHandler.newFactory());
-    private final EventLoop loop = (EventLoop) group.next();
+    private final EventLoop loop = (EventLoop) eventLoops.next();
     private final TimerService timers = new LoopTimerService(loop);
     private final WireTransport transport;
     private final GreetingMessage greeting;
@@ -136,7 +136,7 @@
         long incarnation = System.currentTimeMillis();
         this.greeting = new GreetingMessage(
                 GreetingMessage.PROTOCOL, "gateway", NumericAddress.format(settings.mesh()), incarnation);
-        this.transport = new WireTransport(group, registry, greeting, MeshSettings.LIMITS);
+        this.transport = new WireTransport(eventLoops, registry, greeting, MeshSettings.LIMITS);
         MeshSettings meshSettings = new MeshSettings(
                 settings.mesh(),
                 settings.meshBind().orElse(settings.mesh()),
@@ -231,11 +231,11 @@
                 ignoredAnnouncements,
                 quarantine,
                 new EvacuationRequestHandler(controlGroup, versionHolder::evacuations, knownDomains));
-        this.callerListener = new HttpListener(group, settings.callers(), this::callerLimits, service);
+        this.callerListener = new HttpListener(eventLoops, settings.callers(), this::callerLimits, service);
         this.readinessListener =
-                new HttpListener(group, settings.readiness(), () -> HttpLimits.DEFAULT, this::answerReadiness);
+                new HttpListener(eventLoops, settings.readiness(), () -> HttpLimits.DEFAULT, this::answerReadiness);
         this.controlListener = new HttpListener(
-                group,
+                eventLoops,
                 settings.control(),
                 () -> HttpLimits.DEFAULT.withMaxBody(MAX_CONTROL_BODY_BYTES),
                 dialects.controlEndpoint(controlHandler));
@@ -317,13 +317,13 @@
         }
         metricsListener.ifPresent(HttpListener::close);
         transport.close();
-        group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
+        eventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
     }
 
     private Optional<HttpListener> openMetrics(InetSocketAddress address, NodeState state) {
         try {
             HttpRequestHandler handler = new GatewayMetrics(state);
-            return Optional.of(new HttpListener(group, address, () -> HttpLimits.DEFAULT, handler));
+            return Optional.of(new HttpListener(eventLoops, address, () -> HttpLimits.DEFAULT, handler));
         } catch (RuntimeException e) {
             // A node whose metrics cannot be read still serves.
             LOGGER.warn("event=metrics-not-served address={} reason=\"{}\"", address, e.toString());
@@ -369,7 +369,8 @@
         VoterDiscovery voterDiscovery =
                 new VoterDiscovery(mesh, timers, settings.firstStart(), settings.toleratedLosses());
         mesh.subscribe(voterDiscovery);
-        Supplier<WireTransport> transports = () -> new WireTransport(group, registry, greeting, MeshSettings.LIMITS);
+        Supplier<WireTransport> transports =
+                () -> new WireTransport(eventLoops, registry, greeting, MeshSettings.LIMITS);
         member = Optional.of(
                 new ControlGroupMember(settings, folder, voterDiscovery, versionExchange, transports, loop));
     }
--- a/library/src/main/java/org/copperspindle/gateway/GatewayService.java
+++ b/library/src/main/java/org/copperspindle/gateway/GatewayService.java
@@ -19,7 +19,7 @@
 
     private static final Logger LOGGER = LogManager.getLogger(GatewayService.class);
 
-    /** Another node can accept the request at once. */
+    /** Retry delay while this node stops: another node can accept the request at once. */
     private static final Duration STOP_RETRY_AFTER = Duration.ofMillis(100);
 
     /** Interval at which a waiting request is checked again: a small part of the wait. */
--- a/library/src/main/java/org/copperspindle/gateway/StartupLeaseStatus.java
+++ b/library/src/main/java/org/copperspindle/gateway/StartupLeaseStatus.java
@@ -12,7 +12,10 @@
  */
 final class StartupLeaseStatus implements LeaseStatus {
 
-    /** By then this node has its lease back after a request to the leader, or another node has one. */
+    /**
+     * Retry delay after the loss of a lease: by then this node has it back after a request to the leader, or another
+     * node has one.
+     */
     private static final Duration LEASE_RETURN_TIME = Duration.ofMillis(300);
 
     /**
