--- a/library/src/main/java/org/copperspindle/agent/AgentAction.java
+++ b/library/src/main/java/org/copperspindle/agent/AgentAction.java
@@ -3,7 +3,7 @@
 import org.copperspindle.wire.Peer;
 
 /**
- * What the attempt table asks its agent to do, in order.
+ * An action that the attempt table returns and the agent performs, in order.
  */
 public sealed interface AgentAction {
 
@@ -11,23 +11,23 @@
      * Call the upstream.
      *
      * @param order the order
-     * @param from  connection that ordered it; pieces of a streamed answer go there
+     * @param from  connection that the order came on; chunks of a streamed response are sent there
      */
     record Start(AttemptOrderMessage order, Peer from) implements AgentAction {}
 
     /**
      * Send an outcome.
      *
-     * @param to      who asked
-     * @param outcome the outcome, without the load
+     * @param to      connection to send it on
+     * @param outcome the outcome, without the current load
      */
     record Send(Peer to, AttemptOutcomeMessage outcome) implements AgentAction {}
 
     /**
-     * End a call to the upstream. Its end is reported to the table as any other.
+     * Abort a call to the upstream. Its end is reported to the table like any other.
      *
      * @param attemptId the attempt
-     * @param reason    why
+     * @param reason    reason of the abort
      */
     record Abort(String attemptId, String reason) implements AgentAction {}
 }
--- a/library/src/main/java/org/copperspindle/agent/AgentClock.java
+++ b/library/src/main/java/org/copperspindle/agent/AgentClock.java
@@ -3,11 +3,11 @@
 import java.util.Optional;
 
 /**
- * An entry's knowledge of one life of an agent's clock, for stamping orders. The reading is taken as if it had arrived
- * without delay, so the estimate is never ahead of the agent's real clock but for the drift of two monotonic clocks
- * over the age of the reading, which the agent bounds. Safeguard: without the stamp an agent could not tell a fresh
- * order from one that lay in a socket while its attempt was reported {@code NOT_RUN}; it would run work that the caller
- * has meanwhile sent elsewhere.
+ * An entry's estimate of the clock of one incarnation of an agent, for stamping orders. A reading is taken as if it had
+ * arrived without delay, so the estimate is never ahead of the agent's real clock, except for the drift between two
+ * monotonic clocks over the age of the reading, which the agent limits. Without the stamp an agent could not tell a
+ * fresh order from one that was delayed in a socket buffer while its attempt was reported {@code NOT_RUN}; it would run
+ * work that the caller has meanwhile sent elsewhere.
  */
 public final class AgentClock {
 
@@ -22,18 +22,18 @@
     }
 
     /**
-     * Takes a reading.
+     * Creates the estimate from a load report.
      *
      * @param report the agent's report
      * @param now    nanoseconds of the entry's timer service when it arrived
-     * @return the clock
+     * @return the estimate
      */
     public static AgentClock of(LoadReportMessage report, long now) {
         return new AgentClock(report.agentIncarnation(), report.clockMicros(), now);
     }
 
     /**
-     * Returns the life of the agent whose clock this is.
+     * Returns the incarnation of the agent whose clock this is.
      *
      * @return its incarnation
      */
@@ -42,7 +42,7 @@
     }
 
     /**
-     * Returns the agent's own reading.
+     * Returns the reported reading.
      *
      * @return microseconds of the agent's clock
      */
@@ -53,14 +53,14 @@
     /**
      * Stamps an order.
      *
-     * @param order  the order
-     * @param madeAt nanoseconds of the entry's timer service when its time left was worked out
-     * @param now    nanoseconds of the entry's timer service
-     * @return the stamped order; empty if it must not be sent, because it is meant for another life of the agent or its
-     *     deadline has passed here: the agent forgets refusals counting on no order being stamped after its deadline
+     * @param order     the order
+     * @param createdAt nanoseconds of the entry's timer service when the order's time to the deadline was computed
+     * @param now       nanoseconds of the entry's timer service
+     * @return the stamped order; empty if it must not be sent, because it is for another incarnation of the agent or its
+     *     deadline has passed: the agent forgets refusals on the assumption that no order is stamped after its deadline
      */
-    public Optional<StampedOrderMessage> stamp(AttemptOrderMessage order, long madeAt, long now) {
-        long waitedMicros = (now - madeAt) / 1000;
+    public Optional<StampedOrderMessage> stamp(AttemptOrderMessage order, long createdAt, long now) {
+        long waitedMicros = (now - createdAt) / 1000;
         if (order.agentIncarnation() != incarnation || waitedMicros >= order.timeLeftMicros()) {
             return Optional.empty();
         }
--- a/library/src/main/java/org/copperspindle/agent/AgentLimits.java
+++ b/library/src/main/java/org/copperspindle/agent/AgentLimits.java
@@ -3,18 +3,18 @@
 import java.time.Duration;
 
 /**
- * What one agent allows and keeps.
+ * Limits of one agent.
  *
- * @param concurrency  attempts that run at once until a configuration names the pool's own number
- * @param queue        attempts that wait at most
- * @param records      attempts that are remembered at most
- * @param keptBytes    bytes of kept answers at most, counting room for unrepeatable attempts in progress
- * @param maxResponse  bytes of one answer at most; below the largest frame of the wire
- * @param maxDeadline  time left of an order at most; not below the longest deadline of the deployment
- * @param maxClockAge  age of the clock reading of an order at most
+ * @param concurrency  attempts that run at once, until a configuration sets the concurrency of the pool
+ * @param queue        most attempts that wait
+ * @param records      most attempts that are recorded
+ * @param keptBytes    most bytes of kept responses, including the space reserved for unrepeatable attempts in progress
+ * @param maxResponse  most bytes of one response; below the largest frame of the wire protocol
+ * @param maxDeadline  longest time left of an order; not below the longest deadline of the deployment
+ * @param maxClockAge  greatest age of the clock reading of an order
  * @param keep         how long outcomes of unrepeatable attempts are kept after their end
- * @param linger       how long an unrepeatable attempt is listened to after its deadline
- * @param drainWait    how long a stopping agent waits for its outcomes to be acknowledged
+ * @param linger       time after its deadline at which an unrepeatable attempt is aborted
+ * @param drainWait    longest wait of a draining agent for its outcomes to be acknowledged
  */
 public record AgentLimits(
         int concurrency,
@@ -28,7 +28,7 @@
         Duration linger,
         Duration drainWait) {
 
-    /** Limits that fit an agent into 128 MiB. */
+    /** Default limits, with which an agent fits into 128 MiB. */
     public static final AgentLimits DEFAULT = new AgentLimits(
             32,
             64,
@@ -49,11 +49,11 @@
         return micros(maxClockAge);
     }
 
-    long keepMicros() {
+    long retentionMicros() {
         return micros(keep);
     }
 
-    long lingerMicros() {
+    long abortGraceMicros() {
         return micros(linger);
     }
 
--- a/library/src/main/java/org/copperspindle/agent/AgentService.java
+++ b/library/src/main/java/org/copperspindle/agent/AgentService.java
@@ -26,8 +26,8 @@
 import org.copperspindle.wire.WireTransport;
 
 /**
- * The agent of one upstream: carries out what its {@link AttemptTable} decides, announces the upstream, and tells
- * entries its load. Runs on the decision ring.
+ * The agent of one upstream: performs the actions that its {@link AttemptTable} decides on, announces the upstream to
+ * control, and reports its load to entries. Runs on the decision ring.
  */
 public final class AgentService implements PeerListener, ControlLinkListener {
 
@@ -51,24 +51,24 @@
     private final DeploymentReader reader;
     private long sequence = 1;
     private long configVersion;
-    private long newestConfig;
+    private long newestReceivedConfig;
     private boolean draining;
     private boolean stopped;
     private boolean waitingForAcks;
-    private Optional<Runnable> whenIdle = Optional.empty();
+    private Optional<Runnable> onDrained = Optional.empty();
     private long tickAt = Long.MAX_VALUE;
     private TimerSubscription tick = () -> {};
 
     /**
      * Creates an agent.
      *
-     * @param ring        decision ring that owns it
-     * @param timers      time
+     * @param ring        decision ring that runs it
+     * @param timers      timer service
      * @param transport   network
      * @param settings    its settings
      * @param controls    addresses of the control members
-     * @param address     where entries reach it
-     * @param incarnation this life of the process
+     * @param address     address for entries
+     * @param incarnation incarnation of the process
      */
     public AgentService(
             DecisionRing ring,
@@ -93,10 +93,11 @@
                 client,
                 settings.refusalStatuses(),
                 settings.limits().maxResponse(),
-                this::ended);
-        this.probe =
-                new UpstreamProbe(ring, timers, client, settings.healthPath(), settings.healthInterval(), this::probed);
-        this.control = new ControlLink(ring, timers, transport, controls, settings.renew(), this::leaseRequest, this);
+                this::onAttemptEnded);
+        this.probe = new UpstreamProbe(
+                ring, timers, client, settings.healthPath(), settings.healthInterval(), this::onProbeResult);
+        this.control =
+                new ControlLink(ring, timers, transport, controls, settings.renewInterval(), this::leaseRequest, this);
         this.orders = new OrderHandler(
                 settings.upstreamId(),
                 incarnation,
@@ -107,7 +108,7 @@
                 this::modelsChanged);
     }
 
-    /** Looks for the upstream and announces it. */
+    /** Starts to probe the upstream, to announce it and to report its load. */
     public void start() {
         perform(attempts.onRefusing(health.refusal(), clock()));
         probe.start();
@@ -117,10 +118,10 @@
     }
 
     /**
-     * Refuses new work and what waits from now on, announces that the upstream leaves, and reports when nothing is in
-     * progress and every outcome is acknowledged, or the wait for that is over.
+     * Refuses new and queued work from now on, announces that the upstream is draining, and finishes when nothing is
+     * running and either all outcomes are acknowledged or the wait for that has timed out.
      *
-     * @param done run at the end
+     * @param done run once drained
      */
     public void drain(Runnable done) {
         if (!draining) {
@@ -130,13 +131,13 @@
                     settings.upstreamId(),
                     attempts.running(),
                     attempts.waiting());
-            refusalChanged();
+            updateRefusal();
         }
-        whenIdle = Optional.of(done);
-        leaveIfIdle();
+        onDrained = Optional.of(done);
+        finishDrainIfIdle();
     }
 
-    /** Gives the lease back. */
+    /** Stops the agent and releases the lease. */
     public void stop() {
         stopped = true;
         probe.stop();
@@ -163,7 +164,7 @@
 
     @Override
     public boolean onClose(Peer peer) {
-        // Attempts go on: their outcome is kept for whoever asks.
+        // Attempts continue: their outcomes are kept for any entry that queries them.
         LOGGER.debug("event=entry-disconnected entry={}", peer.greeting().processId());
         return true;
     }
@@ -171,16 +172,16 @@
     @Override
     public void onUpdate(ControlUpdateMessage update) {
         long version = update.configVersion();
-        if (version <= newestConfig) {
+        if (version <= newestReceivedConfig) {
             return;
         }
-        newestConfig = version;
+        newestReceivedConfig = version;
         reader.read(version, update.configText(), read -> read.ifPresent(found -> putInForce(version, found)));
     }
 
     private void putInForce(long version, Deployment deployment) {
         if (version <= configVersion) {
-            // A reading that ended late must not bring an older version back.
+            // Parsing may end out of order; an older version must not replace a newer one.
             return;
         }
         perform(attempts.onConfiguration(concurrency(deployment), longestDeadline(deployment), clock()));
@@ -195,8 +196,8 @@
         incarnation = known + 1;
         attempts.onIncarnation(incarnation);
         orders.onIncarnation(incarnation);
-        // Entries that subscribed before would hold back orders for the new number until the next report.
-        reporter.announce(loadReport());
+        // Entries that subscribed before would withhold orders for the new incarnation until the next report.
+        reporter.publish(loadReport());
     }
 
     @Override
@@ -245,20 +246,20 @@
             perform(attempts.onCancel(cancel.attemptId(), now));
         } else if (message instanceof OutcomeAckMessage ack) {
             attempts.onAcknowledge(ack.attemptId());
-            leaveIfIdle();
+            finishDrainIfIdle();
         } else if (message instanceof AttemptOrderMessage order) {
-            // Refused each time it comes, so the verdict holds without a record.
+            // Every copy is refused the same way, so the verdict holds without a record.
             peer.send(AttemptOutcomeMessage.withoutAnswer(order.attemptId(), new NotRunVerdict("not-stamped")));
         } else if (message instanceof LoadSubscribeMessage) {
             reporter.subscribe(peer, loadReport());
         }
     }
 
-    private void ended(ResponseRelay.RelayedResponse response) {
+    private void onAttemptEnded(ResponseRelay.RelayedResponse response) {
         long now = clock();
         load.onResponse(response.load(), now);
         if (response.neverConnected()) {
-            probed(UpstreamHealth.ProbeResult.SILENT);
+            onProbeResult(UpstreamHealth.ProbeResult.SILENT);
         }
         perform(attempts.onEnded(response.outcome(), response.passedOn(), now));
         LOGGER.debug(
@@ -267,24 +268,24 @@
                 response.outcome().verdict().label(),
                 response.outcome().verdict().reason(),
                 response.outcome().status());
-        leaveIfIdle();
+        finishDrainIfIdle();
     }
 
-    private void probed(UpstreamHealth.ProbeResult result) {
+    private void onProbeResult(UpstreamHealth.ProbeResult result) {
         if (health.onProbe(result)) {
             LOGGER.info("event=upstream-health upstream={} state={}", settings.upstreamId(), health.state());
-            refusalChanged();
+            updateRefusal();
         }
     }
 
-    private void refusalChanged() {
+    private void updateRefusal() {
         Optional<String> refusal = draining ? Optional.of("draining") : health.refusal();
         boolean before = attempts.refusing();
         perform(attempts.onRefusing(refusal, clock()));
         if (draining || before != attempts.refusing()) {
-            // Entries connected here hear it at once, the others through control.
+            // Connected entries are notified at once, the others through control.
             sequence++;
-            reporter.announce(loadReport());
+            reporter.publish(loadReport());
             control.renewNow();
         }
     }
@@ -304,7 +305,7 @@
                 runner.abort(abort.attemptId(), abort.reason());
             }
         }
-        rearm();
+        rescheduleTick();
     }
 
     private void send(AgentAction.Send send) {
@@ -319,8 +320,8 @@
         send.to().send(outcome.withLoad(attempts.running() + attempts.waiting(), load.value(clock())));
     }
 
-    /** Keeps one timer, at the earliest instant that the table waits for. */
-    private void rearm() {
+    /** Keeps a single timer, set to the earliest time at which the table has something to do. */
+    private void rescheduleTick() {
         long due = attempts.nextDue().orElse(Long.MAX_VALUE);
         if (due >= tickAt) {
             return;
@@ -330,7 +331,7 @@
         tick = timers.schedule((due - clock()) * 1000, () -> {
             tickAt = Long.MAX_VALUE;
             perform(attempts.onTick(clock()));
-            leaveIfIdle();
+            finishDrainIfIdle();
         });
     }
 
@@ -356,21 +357,21 @@
                 attempts.refusing());
     }
 
-    private void leaveIfIdle() {
-        if (whenIdle.isEmpty() || attempts.running() > 0) {
+    private void finishDrainIfIdle() {
+        if (onDrained.isEmpty() || attempts.running() > 0) {
             return;
         }
         if (attempts.unacknowledged() == 0) {
-            leave();
+            finishDrain();
         } else if (!waitingForAcks) {
             waitingForAcks = true;
-            timers.schedule(settings.limits().drainWait().toNanos(), this::leave);
+            timers.schedule(settings.limits().drainWait().toNanos(), this::finishDrain);
         }
     }
 
-    private void leave() {
-        Optional<Runnable> done = whenIdle;
-        whenIdle = Optional.empty();
+    private void finishDrain() {
+        Optional<Runnable> done = onDrained;
+        onDrained = Optional.empty();
         if (done.isPresent()) {
             LOGGER.info(
                     "event=drained upstream={} unacknowledged={}", settings.upstreamId(), attempts.unacknowledged());
@@ -394,7 +395,7 @@
                 .orElse(0L);
     }
 
-    /** Reading of this life's clock in microseconds; above 0, because 0 stands for no reading. */
+    /** Returns this incarnation's clock in microseconds. It is always above 0, because 0 means no reading. */
     private long clock() {
         return (timers.nanoTime() - clockOrigin) / 1000 + 1;
     }
--- a/library/src/main/java/org/copperspindle/agent/AgentSettings.java
+++ b/library/src/main/java/org/copperspindle/agent/AgentSettings.java
@@ -13,12 +13,12 @@
  * @param failureDomain   failure domain of its VM
  * @param upstream        address of its upstream
  * @param models          models that the upstream serves at start
- * @param renew           interval of lease renewals
- * @param healthPath      path that tells whether the upstream takes work, empty if it has none
- * @param healthInterval  time between two looks at the upstream
+ * @param renewInterval   interval of lease renewals
+ * @param healthPath      path of the upstream's health check, empty if it has none
+ * @param healthInterval  interval of health checks
  * @param reportInterval  time between two load reports to an entry while the load changes
- * @param refusalStatuses statuses by which the upstream says that it did not run a call
- * @param limits          what it allows and keeps
+ * @param refusalStatuses HTTP statuses that mean that the upstream did not run a call
+ * @param limits          limits of the agent
  */
 public record AgentSettings(
         String upstreamId,
@@ -26,17 +26,17 @@
         String failureDomain,
         InetSocketAddress upstream,
         List<String> models,
-        Duration renew,
+        Duration renewInterval,
         String healthPath,
         Duration healthInterval,
         Duration reportInterval,
         Set<Integer> refusalStatuses,
         AgentLimits limits) {
 
-    /** Time between two looks at the upstream, unless set. */
+    /** Default interval of health checks. */
     public static final Duration DEFAULT_HEALTH_INTERVAL = Duration.ofSeconds(1);
 
-    /** Time between two load reports, unless set. */
+    /** Default interval of load reports. */
     public static final Duration DEFAULT_REPORT_INTERVAL = Duration.ofSeconds(2);
 
     /**
@@ -47,7 +47,7 @@
      * @param failureDomain failure domain of its VM
      * @param upstream      address of its upstream
      * @param models        models that the upstream serves at start
-     * @param renew         interval of lease renewals
+     * @param renewInterval interval of lease renewals
      */
     public AgentSettings(
             String upstreamId,
@@ -55,14 +55,14 @@
             String failureDomain,
             InetSocketAddress upstream,
             List<String> models,
-            Duration renew) {
+            Duration renewInterval) {
         this(
                 upstreamId,
                 pool,
                 failureDomain,
                 upstream,
                 models,
-                renew,
+                renewInterval,
                 "",
                 DEFAULT_HEALTH_INTERVAL,
                 DEFAULT_REPORT_INTERVAL,
--- a/library/src/main/java/org/copperspindle/agent/AttemptCancelMessage.java
+++ b/library/src/main/java/org/copperspindle/agent/AttemptCancelMessage.java
@@ -6,7 +6,7 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * Withdraws an attempt whose answer nobody waits for.
+ * Cancels an attempt whose outcome nobody waits for.
  *
  * @param attemptId the attempt
  */
--- a/library/src/main/java/org/copperspindle/agent/AttemptChunkMessage.java
+++ b/library/src/main/java/org/copperspindle/agent/AttemptChunkMessage.java
@@ -6,11 +6,11 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * One piece of a streamed answer.
+ * One chunk of a streamed response.
  *
  * @param attemptId the attempt
- * @param sequence number of the piece, from 0 without gaps
- * @param data the piece
+ * @param sequence number of the chunk, from 0 without gaps
+ * @param data the chunk
  */
 public record AttemptChunkMessage(String attemptId, long sequence, byte[] data) implements WireMessage {
 
--- a/library/src/main/java/org/copperspindle/agent/AttemptOrderMessage.java
+++ b/library/src/main/java/org/copperspindle/agent/AttemptOrderMessage.java
@@ -7,19 +7,19 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * Orders an agent to run one attempt on its upstream. Travels as a {@link StampedOrderMessage}; without the stamp it is
- * refused.
+ * Orders an agent to run one attempt on its upstream. It is sent inside a {@link StampedOrderMessage}; without the
+ * stamp it is refused.
  *
- * @param attemptId identity of the attempt; a second order with it runs nothing
+ * @param attemptId identity of the attempt; a second order with the same one runs nothing
  * @param requestId request, for logs
- * @param upstreamId upstream that is meant; another agent refuses
- * @param agentIncarnation life of the agent that is meant; another life refuses
+ * @param upstreamId upstream to run it; another upstream's agent refuses
+ * @param agentIncarnation incarnation of the agent to run it; another incarnation refuses
  * @param path HTTP path on the upstream
  * @param body HTTP body
- * @param streaming whether chunks are passed on as they come
+ * @param streaming whether chunks are passed on as they arrive
  * @param repeatable whether the attempt may be cancelled and run again
  * @param priority priority of the request
- * @param timeLeftMicros time left until the request's deadline when the order was sent
+ * @param timeLeftMicros time to the request's deadline when the order was created
  * @param configVersion configuration version that the entry served under
  */
 public record AttemptOrderMessage(
--- a/library/src/main/java/org/copperspindle/agent/AttemptOutcomeMessage.java
+++ b/library/src/main/java/org/copperspindle/agent/AttemptOutcomeMessage.java
@@ -8,17 +8,17 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * The end of an attempt. Kept by the agent until it is acknowledged.
+ * The outcome of an attempt. Kept by the agent until it is acknowledged.
  *
  * @param attemptId the attempt
  * @param verdict whether it ran
- * @param status HTTP status of the upstream, 0 if it gave none
+ * @param status HTTP status of the upstream, 0 if it sent none
  * @param contentType content type of the body
- * @param body whole body; empty for a streamed answer whose pieces were all sent on this connection before
- * @param complete whether the framing shows that the answer is whole
- * @param chunks pieces sent before, for a streamed answer
+ * @param body whole body; empty for a streamed response whose chunks were all sent on this connection before
+ * @param complete whether the HTTP framing shows that the response is whole
+ * @param chunks number of chunks sent before, for a streamed response
  * @param busyMicros time that the upstream spent
- * @param inFlight attempts running or waiting at the agent now, from all entries
+ * @param inFlight attempts of all entries running or waiting at the agent now
  * @param reportedLoad load that the upstream reported last, -1 if it reports none or that is too old
  */
 public record AttemptOutcomeMessage(
@@ -41,7 +41,7 @@
     private static final byte[] NO_BODY = new byte[0];
 
     /**
-     * Makes the outcome of an attempt that has no answer.
+     * Creates the outcome of an attempt without a response.
      *
      * @param attemptId the attempt
      * @param verdict   whether it ran
@@ -64,7 +64,7 @@
     }
 
     /**
-     * Leaves the body out, for a connection that got every piece of it.
+     * Removes the body, for a connection that received all of its chunks.
      *
      * @return the outcome without its body
      */
--- a/library/src/main/java/org/copperspindle/agent/AttemptQueue.java
+++ b/library/src/main/java/org/copperspindle/agent/AttemptQueue.java
@@ -9,7 +9,7 @@
 import org.copperspindle.config.Priority;
 
 /**
- * Attempts that wait for the upstream: by priority, then by age.
+ * Attempts that wait for the upstream, ordered by priority, then by age.
  */
 final class AttemptQueue {
 
@@ -41,10 +41,10 @@
     }
 
     /**
-     * Finds the youngest attempt of the lowest priority, if it is lower than the given one.
+     * Finds the youngest attempt of the lowest priority, if that is lower than the given one.
      *
      * @param priority priority of an attempt that needs the place
-     * @return the attempt that would be refused in its favour
+     * @return the attempt to refuse in its favour
      */
     Optional<AttemptRecord> lowerThan(Priority priority) {
         for (int i = byPriority.size() - 1; i > priority.ordinal(); i--) {
--- a/library/src/main/java/org/copperspindle/agent/AttemptRecord.java
+++ b/library/src/main/java/org/copperspindle/agent/AttemptRecord.java
@@ -8,47 +8,47 @@
 import org.copperspindle.wire.Peer;
 
 /**
- * What an agent remembers of one attempt. Times are microseconds of the agent's clock.
+ * The record of one attempt at an agent. Times are microseconds of the agent's clock.
  */
 final class AttemptRecord {
 
-    private static final Set<Peer> NOBODY = Set.of();
+    private static final Set<Peer> NO_SUBSCRIBERS = Set.of();
 
     private final String attemptId;
     private final boolean repeatable;
     private final long expiresAt;
-    private final long lapsesAt;
+    private final long acceptableUntil;
     private State state;
     private AttemptOrderMessage order;
     private Peer orderedBy;
-    private Set<Peer> subscribers = NOBODY;
+    private Set<Peer> subscribers = NO_SUBSCRIBERS;
     private AttemptOutcomeMessage outcome;
     private boolean acknowledged;
     private boolean aborted;
     private long startedAt;
     private long dueAt;
 
-    private AttemptRecord(String attemptId, boolean repeatable, long expiresAt, long lapsesAt, State state) {
+    private AttemptRecord(String attemptId, boolean repeatable, long expiresAt, long acceptableUntil, State state) {
         this.attemptId = attemptId;
         this.repeatable = repeatable;
         this.expiresAt = expiresAt;
-        this.lapsesAt = lapsesAt;
+        this.acceptableUntil = acceptableUntil;
         this.state = state;
         this.dueAt = expiresAt;
     }
 
-    static AttemptRecord waiting(StampedOrderMessage stamped, Peer from, long lapsesAt) {
+    static AttemptRecord waiting(StampedOrderMessage stamped, Peer from, long acceptableUntil) {
         AttemptOrderMessage order = stamped.order();
         AttemptRecord record = new AttemptRecord(
-                order.attemptId(), order.repeatable(), stamped.expiresAtMicros(), lapsesAt, State.WAITING);
+                order.attemptId(), order.repeatable(), stamped.expiresAtMicros(), acceptableUntil, State.WAITING);
         record.order = order;
         record.orderedBy = from;
         record.subscribe(from);
         return record;
     }
 
-    static AttemptRecord refused(String attemptId, AttemptOutcomeMessage outcome, long lapsesAt) {
-        AttemptRecord record = new AttemptRecord(attemptId, true, lapsesAt, lapsesAt, State.REFUSED);
+    static AttemptRecord refused(String attemptId, AttemptOutcomeMessage outcome, long acceptableUntil) {
+        AttemptRecord record = new AttemptRecord(attemptId, true, acceptableUntil, acceptableUntil, State.REFUSED);
         record.outcome = outcome;
         return record;
     }
@@ -57,7 +57,7 @@
         final AgentAction.Start start = new AgentAction.Start(order, orderedBy);
         state = State.RUNNING;
         startedAt = now;
-        // Whoever calls the upstream holds the body; a second copy here would double the memory of each attempt.
+        // The call to the upstream holds the body; a second copy here would double the memory of each attempt.
         order = null;
         return start;
     }
@@ -67,7 +67,7 @@
         outcome = refusal;
         order = null;
         forgetSubscribers();
-        dueAt = lapsesAt;
+        dueAt = acceptableUntil;
     }
 
     void end(AttemptOutcomeMessage ended, long forgetAt) {
@@ -123,8 +123,8 @@
         return expiresAt;
     }
 
-    long lapsesAt() {
-        return lapsesAt;
+    long acceptableUntil() {
+        return acceptableUntil;
     }
 
     long startedAt() {
@@ -167,25 +167,25 @@
         return outcome == null ? 0 : outcome.body().length;
     }
 
-    /** Returns whether the outcome is one that only this agent knows and that may not be made again. */
+    /** Returns whether only this agent knows the outcome and the attempt may not be repeated. */
     boolean irreplaceable() {
         return state == State.ENDED && !repeatable && !acknowledged && outcome.verdict() instanceof RanVerdict;
     }
 
     private void forgetSubscribers() {
-        subscribers = NOBODY;
+        subscribers = NO_SUBSCRIBERS;
         orderedBy = null;
     }
 
-    /** Life of an attempt at the agent. */
+    /** State of an attempt at the agent. */
     enum State {
         /** Accepted, not started. */
         WAITING,
-        /** Handed to the upstream. */
+        /** Sent to the upstream. */
         RUNNING,
-        /** Its outcome is known, or known to be unknowable. */
+        /** Ended; its outcome is known, or can't be known any more. */
         ENDED,
-        /** Never ran here and never will. */
+        /** Did not run here and never will. */
         REFUSED
     }
 }
--- a/library/src/main/java/org/copperspindle/agent/AttemptRecords.java
+++ b/library/src/main/java/org/copperspindle/agent/AttemptRecords.java
@@ -11,21 +11,21 @@
 import java.util.Set;
 
 /**
- * The bounded set of remembered attempts, and when each next falls due. A record that has to go before its time leaves
- * its mark in {@link ForgottenAttempts}.
+ * The bounded set of attempt records, and when each is due next. A record that is evicted before its time raises the
+ * marks in {@link ForgottenAttempts}.
  */
 final class AttemptRecords {
 
-    /** Share of the records that may be refusals of attempts never seen: those can't be evicted. */
-    private static final int SHARE_FOR_GOOD = 4;
+    /** One in this many records may be pinned: a refusal of an attempt that never arrived, which can't be evicted. */
+    private static final int PINNED_DIVISOR = 4;
 
     private final int limit;
     private final OutcomeStore outcomes;
     private final ForgottenAttempts forgotten;
     private final Map<String, AttemptRecord> byAttempt = new HashMap<>();
     private final Set<AttemptRecord> evictable = new LinkedHashSet<>();
-    private final PriorityQueue<Due> dues = new PriorityQueue<>(Comparator.comparingLong(Due::at));
-    private int forGood;
+    private final PriorityQueue<Due> dueQueue = new PriorityQueue<>(Comparator.comparingLong(Due::at));
+    private int pinned;
 
     AttemptRecords(int limit, OutcomeStore outcomes, ForgottenAttempts forgotten) {
         this.limit = limit;
@@ -42,18 +42,21 @@
         due(record);
     }
 
-    /** Adds a refusal that must stay until it lapses: no floor could stand in for it without refusing all new work. */
-    void putForGood(AttemptRecord record) {
+    /**
+     * Adds a refusal that must stay until no copy of its order can be accepted: raising the floor instead would refuse
+     * all new work.
+     */
+    void putPinned(AttemptRecord record) {
         put(record);
-        forGood++;
+        pinned++;
     }
 
-    /** From now on the record may go when another needs its place. */
-    void mayEvict(AttemptRecord record) {
+    /** Marks the record as evictable when another needs its place. */
+    void markEvictable(AttemptRecord record) {
         evictable.add(record);
     }
 
-    /** Frees a place if none is free; the oldest evictable record goes. Returns false if there is none. */
+    /** Evicts the oldest evictable record if the set is full. Returns false if it is full and nothing is evictable. */
     boolean makeRoom() {
         if (byAttempt.size() < limit) {
             return true;
@@ -63,13 +66,13 @@
             return false;
         }
         AttemptRecord record = oldest.next();
-        forgotten.raiseFloor(record.lapsesAt());
+        forgotten.raiseFloor(record.acceptableUntil());
         forget(record);
         return true;
     }
 
-    boolean makeRoomForGood() {
-        return forGood < limit / SHARE_FOR_GOOD && makeRoom();
+    boolean makeRoomForPinned() {
+        return pinned < limit / PINNED_DIVISOR && makeRoom();
     }
 
     void forget(AttemptRecord record) {
@@ -77,23 +80,23 @@
         boolean wasEvictable = evictable.remove(record);
         if (record.state() == AttemptRecord.State.ENDED) {
             outcomes.remove(record);
-            forgotten.ran(record);
+            forgotten.addRan(record);
         } else if (!wasEvictable) {
-            forGood--;
+            pinned--;
         }
     }
 
-    /** Notes when the record falls due next; an earlier note of the same record no longer counts. */
+    /** Schedules the record for its due time; an earlier entry of the same record no longer counts. */
     void due(AttemptRecord record) {
         if (record.dueAt() < Long.MAX_VALUE) {
-            dues.add(new Due(record.dueAt(), record.attemptId()));
+            dueQueue.add(new Due(record.dueAt(), record.attemptId()));
         }
     }
 
-    /** Takes the next record that is due. */
+    /** Removes and returns the next record that is due. */
     Optional<AttemptRecord> pollDue(long now) {
-        while (!dues.isEmpty() && dues.peek().at() <= now) {
-            Due due = dues.poll();
+        while (!dueQueue.isEmpty() && dueQueue.peek().at() <= now) {
+            Due due = dueQueue.poll();
             AttemptRecord record = byAttempt.get(due.attemptId());
             if (record != null && record.dueAt() == due.at()) {
                 return Optional.of(record);
@@ -103,9 +106,9 @@
     }
 
     OptionalLong nextDue() {
-        return dues.isEmpty()
+        return dueQueue.isEmpty()
                 ? OptionalLong.empty()
-                : OptionalLong.of(dues.peek().at());
+                : OptionalLong.of(dueQueue.peek().at());
     }
 
     int size() {
--- a/library/src/main/java/org/copperspindle/agent/AttemptRunner.java
+++ b/library/src/main/java/org/copperspindle/agent/AttemptRunner.java
@@ -10,7 +10,7 @@
 import org.copperspindle.wire.Peer;
 
 /**
- * Carries attempts to the upstream and their ends back to the decision ring. Owned by the ring.
+ * Calls the upstream for attempts and hands their results to the decision ring. Used on the ring.
  */
 final class AttemptRunner {
 
@@ -19,18 +19,18 @@
     private final UpstreamClient client;
     private final Set<Integer> refusalStatuses;
     private final int maxResponse;
-    private final Consumer<ResponseRelay.RelayedResponse> ended;
+    private final Consumer<ResponseRelay.RelayedResponse> onEnded;
     private final Map<String, Consumer<String>> aborts = new HashMap<>();
 
     /**
      * Creates a runner.
      *
      * @param ring            decision ring
-     * @param timers          time
+     * @param timers          timer service
      * @param client          client of the upstream
-     * @param refusalStatuses statuses by which the upstream says that it did not run a call
-     * @param maxResponse     bytes of one answer at most
-     * @param ended           told the end of each attempt, on the ring
+     * @param refusalStatuses HTTP statuses that mean that the upstream did not run a call
+     * @param maxResponse     most bytes of one response
+     * @param onEnded         receives the result of each attempt, on the ring
      */
     AttemptRunner(
             DecisionRing ring,
@@ -38,13 +38,13 @@
             UpstreamClient client,
             Set<Integer> refusalStatuses,
             int maxResponse,
-            Consumer<ResponseRelay.RelayedResponse> ended) {
+            Consumer<ResponseRelay.RelayedResponse> onEnded) {
         this.ring = ring;
         this.timers = timers;
         this.client = client;
         this.refusalStatuses = refusalStatuses;
         this.maxResponse = maxResponse;
-        this.ended = ended;
+        this.onEnded = onEnded;
     }
 
     void start(AttemptOrderMessage order, Peer from) {
@@ -63,14 +63,15 @@
     }
 
     /**
-     * Safeguard: waiting for the ring on the network thread would stop every other answer of this upstream while the
-     * ring is full; the task is offered again instead. Those that wait are bounded by the attempts that run.
+     * Hands a result over without blocking. Waiting for the ring on the network thread would stop all other responses
+     * of this upstream while the ring is full, so the task is offered again instead. The number of such tasks is
+     * bounded by the running attempts.
      */
     private void handOver(AttemptOrderMessage order, ResponseRelay.RelayedResponse response) {
         ring.offerUntilTaken(
                 () -> {
                     aborts.remove(order.attemptId());
-                    ended.accept(response);
+                    onEnded.accept(response);
                 },
                 client.scheduler());
     }
--- a/library/src/main/java/org/copperspindle/agent/AttemptTable.java
+++ b/library/src/main/java/org/copperspindle/agent/AttemptTable.java
@@ -11,18 +11,18 @@
 import org.copperspindle.wire.Peer;
 
 /**
- * What one life of an agent knows of attempts: a pure state machine. Every event takes the reading of the agent's clock
- * in microseconds and returns what to do, in order.
+ * The attempts known to one incarnation of an agent: a pure state machine. Every event takes the reading of the agent's
+ * clock in microseconds and returns the actions to perform, in order.
  *
- * <p>Safeguard: a delayed or doubled order must not run an attempt again, nor one that was reported {@code NOT_RUN}; the
- * caller would see a doubled install. Enough, because an attempt enters the table before it runs and a refusal before it
- * is sent; because an order can only be accepted while this agent's own clock is before the instant that the order
- * names, so that a record is forgotten only when no copy can be accepted any more; and because a record that has to go
- * earlier leaves its mark in {@link ForgottenAttempts}.
+ * <p>A delayed or duplicate order must not run an attempt again, nor run one that was reported {@code NOT_RUN}; the
+ * caller's request would take effect twice. Three rules prevent that. An attempt enters the table before it runs, and a
+ * refusal before it is sent. An order is accepted only while this agent's own clock is before the deadline stamped on
+ * the order, so a record is forgotten only when no copy of its order can be accepted any more. A record that is removed
+ * earlier raises the marks in {@link ForgottenAttempts}.
  */
 final class AttemptTable {
 
-    /** Allowed difference of two monotonic clocks' rates, as for leases. */
+    /** Relative difference allowed between the rates of two monotonic clocks, the same as for leases. */
     private static final double CLOCK_DRIFT = 0.01;
 
     private final String upstreamId;
@@ -41,8 +41,8 @@
      * Creates an empty table.
      *
      * @param upstreamId  the upstream
-     * @param incarnation this life of the agent
-     * @param limits      what it allows and keeps
+     * @param incarnation incarnation of the agent
+     * @param limits      limits of the agent
      */
     AttemptTable(String upstreamId, long incarnation, AgentLimits limits) {
         this.upstreamId = upstreamId;
@@ -55,25 +55,25 @@
     }
 
     /**
-     * Takes a larger incarnation, because the clock that numbers lives was set back. Called before the first lease, so
-     * that no entry knows this life yet and no order of it has come.
+     * Switches to a larger incarnation, because the clock that incarnations are derived from was set back. Called
+     * before the first lease, so that no entry knows this incarnation yet and no order for it has arrived.
      *
-     * @param larger the incarnation to go on under
+     * @param newIncarnation the incarnation to continue with
      */
-    void onIncarnation(long larger) {
-        incarnation = larger;
+    void onIncarnation(long newIncarnation) {
+        incarnation = newIncarnation;
     }
 
-    /** An order arrived. */
+    /** Handles an order. */
     List<AgentAction> onOrder(StampedOrderMessage order, Peer from, long now) {
         Optional<AttemptRecord> known = records.find(order.attemptId());
         if (known.isPresent()) {
-            return follow(known.get(), from);
+            return sendOrSubscribe(known.get(), from);
         }
-        Optional<Verdict> stale = stale(order, now);
-        if (stale.isPresent()) {
-            return List.of(
-                    new AgentAction.Send(from, AttemptOutcomeMessage.withoutAnswer(order.attemptId(), stale.get())));
+        Optional<Verdict> rejection = rejection(order, now);
+        if (rejection.isPresent()) {
+            return List.of(new AgentAction.Send(
+                    from, AttemptOutcomeMessage.withoutAnswer(order.attemptId(), rejection.get())));
         }
         List<AgentAction> actions = new ArrayList<>();
         Optional<String> refusal = refusal(order, now, actions);
@@ -81,42 +81,45 @@
             actions.add(refuse(order, from, refusal.get(), now));
             return actions;
         }
-        AttemptRecord record = AttemptRecord.waiting(order, from, lapse(order));
+        AttemptRecord record = AttemptRecord.waiting(order, from, acceptableUntil(order));
         records.put(record);
         queue.add(record);
-        startWaiting(now, actions);
+        startQueued(now, actions);
         return actions;
     }
 
-    /** Another connection asks for an outcome. */
+    /** Handles a query for the outcome of an attempt. */
     List<AgentAction> onQuery(OutcomeQueryMessage query, Peer from, long now) {
         Optional<AttemptRecord> known = records.find(query.attemptId());
         if (known.isPresent()) {
-            return follow(known.get(), from);
+            return sendOrSubscribe(known.get(), from);
         }
         AttemptOutcomeMessage outcome =
-                AttemptOutcomeMessage.withoutAnswer(query.attemptId(), neverArrived(query, now));
+                AttemptOutcomeMessage.withoutAnswer(query.attemptId(), verdictOnUnknown(query, now));
         if (outcome.verdict() instanceof NotRunVerdict) {
-            // Its order may still be under way or even unsent. The request was admitted before anyone could ask for the
-            // attempt, so the reading that its order is stamped with is at most its deadline away, and the order is
-            // accepted at most the greatest age of a reading later.
-            long lapse = now + longestDeadline() + limits.maxClockAgeMicros();
-            records.putForGood(AttemptRecord.refused(query.attemptId(), outcome, lapse));
+            // Its order may still be in transit or not even sent. The request was admitted before anyone could query
+            // the attempt, so the clock reading stamped on its order is at most the longest deadline from now, and the
+            // order is accepted for at most the greatest age of a reading after that.
+            long acceptableUntil = now + longestDeadline() + limits.maxClockAgeMicros();
+            records.putPinned(AttemptRecord.refused(query.attemptId(), outcome, acceptableUntil));
         }
         return List.of(new AgentAction.Send(from, outcome));
     }
 
-    /** The entry has the outcome. */
+    /** Handles the acknowledgement of an outcome. */
     void onAcknowledge(String attemptId) {
         records.find(attemptId)
                 .filter(record -> record.state() == AttemptRecord.State.ENDED)
                 .ifPresent(record -> {
                     outcomes.acknowledge(record);
-                    records.mayEvict(record);
+                    records.markEvictable(record);
                 });
     }
 
-    /** Nobody waits for the attempt any more. Work that may not be repeated goes on once it has started. */
+    /**
+     * Handles the cancellation of an attempt that nobody waits for any more. Unrepeatable work that has started
+     * continues.
+     */
     List<AgentAction> onCancel(String attemptId, long now) {
         Optional<AttemptRecord> known = records.find(attemptId);
         if (known.isEmpty()) {
@@ -125,15 +128,15 @@
         List<AgentAction> actions = new ArrayList<>();
         AttemptRecord record = known.get();
         if (record.state() == AttemptRecord.State.WAITING) {
-            refuseWaiting(record, "cancelled", actions);
+            refuseQueued(record, "cancelled", actions);
         } else if (record.state() == AttemptRecord.State.RUNNING && record.repeatable() && !record.aborted()) {
             abort(record, "cancelled", actions);
         }
         return actions;
     }
 
-    /** The call to the upstream ended. A second end of the same attempt changes nothing. */
-    List<AgentAction> onEnded(AttemptOutcomeMessage outcome, boolean allPassedOn, long now) {
+    /** Handles the end of a call to the upstream. A second end of the same attempt has no effect. */
+    List<AgentAction> onEnded(AttemptOutcomeMessage outcome, boolean allRelayed, long now) {
         Optional<AttemptRecord> known = records.find(outcome.attemptId());
         if (known.filter(r -> r.state() == AttemptRecord.State.RUNNING).isEmpty()) {
             return List.of();
@@ -141,56 +144,56 @@
         AttemptRecord record = known.get();
         List<AgentAction> actions = new ArrayList<>();
         for (Peer peer : record.subscribers()) {
-            boolean hasPieces = allPassedOn && peer == record.orderedBy();
-            actions.add(new AgentAction.Send(peer, hasPieces ? outcome.withoutBody() : outcome));
+            boolean hasChunks = allRelayed && peer == record.orderedBy();
+            actions.add(new AgentAction.Send(peer, hasChunks ? outcome.withoutBody() : outcome));
         }
         running--;
-        long forgetAt = Math.max(record.lapsesAt(), record.expiresAt());
+        long forgetAt = Math.max(record.acceptableUntil(), record.expiresAt());
         if (!record.repeatable()) {
-            forgetAt = Math.max(forgetAt, now + limits.keepMicros());
+            forgetAt = Math.max(forgetAt, now + limits.retentionMicros());
             outcomes.release();
         }
         record.end(outcome, forgetAt);
         outcomes.add(record);
         if (!record.irreplaceable()) {
-            records.mayEvict(record);
+            records.markEvictable(record);
         }
         records.due(record);
-        startWaiting(now, actions);
+        startQueued(now, actions);
         return actions;
     }
 
-    /** Time passed: ends what is past its deadline and forgets what can't matter any more. */
+    /** Handles the passing of time: aborts attempts past their deadline and removes expired records. */
     List<AgentAction> onTick(long now) {
         List<AgentAction> actions = new ArrayList<>();
         for (Optional<AttemptRecord> due = records.pollDue(now); due.isPresent(); due = records.pollDue(now)) {
-            fallDue(due.get(), actions);
+            onDue(due.get(), actions);
         }
-        startWaiting(now, actions);
+        startQueued(now, actions);
         return actions;
     }
 
-    /** Refuses new work and what waits from now on, or takes work again. */
+    /** Starts to refuse new and queued work for the given reason, or accepts work again if there is none. */
     List<AgentAction> onRefusing(Optional<String> reason, long now) {
         refusing = reason;
         List<AgentAction> actions = new ArrayList<>();
         if (reason.isPresent()) {
             for (Optional<AttemptRecord> next = queue.poll(); next.isPresent(); next = queue.poll()) {
-                refuseWaiting(next.get(), reason.get(), actions);
+                refuseQueued(next.get(), reason.get(), actions);
             }
         }
         return actions;
     }
 
     /**
-     * A configuration came into force. More may start, none is cut off; the longest deadline never shrinks, because
-     * requests admitted under an older version may still be under way.
+     * Applies a configuration. A higher concurrency starts queued attempts, a lower one aborts none; the longest
+     * deadline never shrinks, because requests admitted under an older version may still be in progress.
      */
     List<AgentAction> onConfiguration(int attempts, long longestDeadlineMicros, long now) {
         concurrency = attempts;
         maxDeadline = Math.max(maxDeadline, longestDeadlineMicros);
         List<AgentAction> actions = new ArrayList<>();
-        startWaiting(now, actions);
+        startQueued(now, actions);
         return actions;
     }
 
@@ -206,7 +209,7 @@
         return queue.size();
     }
 
-    /** Returns how many answers someone may still ask for. */
+    /** Returns the number of responses that an entry may still query. */
     int unacknowledged() {
         return outcomes.unacknowledged();
     }
@@ -223,25 +226,25 @@
         return refusing.isPresent();
     }
 
-    /** Judges orders that need no record, because every later copy is refused the same way. */
-    private Optional<Verdict> stale(StampedOrderMessage order, long now) {
+    /** Rejects orders that need no record, because every later copy is rejected the same way. */
+    private Optional<Verdict> rejection(StampedOrderMessage order, long now) {
         if (!order.order().upstreamId().equals(upstreamId)) {
             return Optional.of(new NotRunVerdict("other-upstream"));
         }
         if (order.order().agentIncarnation() != incarnation) {
-            // Another copy may have run in that life; an entry does not send such an order in the first place.
+            // Another copy may have run in that incarnation. Entries don't send such an order in the first place.
             return Optional.of(new MayHaveRunVerdict("other-incarnation"));
         }
         if (order.clockMicros() <= 0 || order.clockMicros() > now) {
-            // Not a reading of this clock. Promises nothing: a copy could look valid later.
+            // Not a reading of this clock. The verdict can't be NOT_RUN, because a copy could become valid later.
             return Optional.of(new MayHaveRunVerdict("clock-unknown"));
         }
         Optional<String> reason = Optional.empty();
         if (now >= order.expiresAtMicros()) {
             reason = Optional.of("deadline");
-        } else if (now >= lapse(order)) {
+        } else if (now >= acceptableUntil(order)) {
             reason = Optional.of("delayed");
-        } else if (forgotten.belowFloor(lapse(order))) {
+        } else if (forgotten.belowFloor(acceptableUntil(order))) {
             reason = Optional.of("table-full");
         }
         // An earlier copy may have run and been forgotten: refusing this one does not prove that none ran.
@@ -250,8 +253,8 @@
         return reason.map(r -> provable ? new NotRunVerdict(r) : new MayHaveRunVerdict(r));
     }
 
-    /** Last instant at which a copy of the order could be accepted. */
-    private long lapse(StampedOrderMessage order) {
+    /** Returns the end of the time in which a copy of the order could be accepted. */
+    private long acceptableUntil(StampedOrderMessage order) {
         return Math.min(order.expiresAtMicros(), order.clockMicros() + limits.maxClockAgeMicros());
     }
 
@@ -276,7 +279,7 @@
                 return Optional.of("queue-full");
             }
             queue.remove(lower.get());
-            refuseWaiting(lower.get(), "displaced", actions);
+            refuseQueued(lower.get(), "displaced", actions);
         }
         if (!order.order().repeatable() && !outcomes.reserve()) {
             return Optional.of("outcomes-full");
@@ -288,16 +291,16 @@
         AttemptOutcomeMessage outcome =
                 AttemptOutcomeMessage.withoutAnswer(order.attemptId(), new NotRunVerdict(reason));
         if (records.makeRoom()) {
-            AttemptRecord record = AttemptRecord.refused(order.attemptId(), outcome, lapse(order));
+            AttemptRecord record = AttemptRecord.refused(order.attemptId(), outcome, acceptableUntil(order));
             records.put(record);
-            records.mayEvict(record);
+            records.markEvictable(record);
         } else {
-            forgotten.raiseFloor(lapse(order));
+            forgotten.raiseFloor(acceptableUntil(order));
         }
         return new AgentAction.Send(from, outcome);
     }
 
-    private void refuseWaiting(AttemptRecord record, String reason, List<AgentAction> actions) {
+    private void refuseQueued(AttemptRecord record, String reason, List<AgentAction> actions) {
         queue.remove(record);
         if (!record.repeatable()) {
             outcomes.release();
@@ -306,11 +309,11 @@
                 AttemptOutcomeMessage.withoutAnswer(record.attemptId(), new NotRunVerdict(reason));
         record.subscribers().forEach(peer -> actions.add(new AgentAction.Send(peer, outcome)));
         record.refuse(outcome);
-        records.mayEvict(record);
+        records.markEvictable(record);
         records.due(record);
     }
 
-    private Verdict neverArrived(OutcomeQueryMessage query, long now) {
+    private Verdict verdictOnUnknown(OutcomeQueryMessage query, long now) {
         if (query.agentIncarnation() != incarnation) {
             return new MayHaveRunVerdict(query.agentIncarnation() == 0 ? "incarnation-unknown" : "agent-restarted");
         }
@@ -321,13 +324,13 @@
         if (query.clockMicros() > now) {
             return new MayHaveRunVerdict("clock-unknown");
         }
-        if (!records.makeRoomForGood()) {
+        if (!records.makeRoomForPinned()) {
             return new MayHaveRunVerdict("table-full");
         }
         return new NotRunVerdict("never-arrived");
     }
 
-    private List<AgentAction> follow(AttemptRecord known, Peer from) {
+    private List<AgentAction> sendOrSubscribe(AttemptRecord known, Peer from) {
         if (known.outcome().isPresent()) {
             return List.of(new AgentAction.Send(from, known.outcome().get()));
         }
@@ -335,7 +338,7 @@
         return List.of();
     }
 
-    private void startWaiting(long now, List<AgentAction> actions) {
+    private void startQueued(long now, List<AgentAction> actions) {
         while (running < concurrency) {
             Optional<AttemptRecord> next = queue.poll();
             if (next.isEmpty()) {
@@ -343,24 +346,27 @@
             }
             AttemptRecord record = next.get();
             if (now >= record.expiresAt()) {
-                refuseWaiting(record, "deadline", actions);
+                refuseQueued(record, "deadline", actions);
                 continue;
             }
             running++;
             actions.add(record.start(now));
-            record.dueAt(cutAt(record));
+            record.dueAt(abortAt(record));
             records.due(record);
         }
     }
 
-    /** A late answer of unrepeatable work is still worth having: a resent request is told the truth. */
-    private long cutAt(AttemptRecord record) {
-        return record.repeatable() ? record.expiresAt() : record.expiresAt() + limits.lingerMicros();
+    /**
+     * Returns when a running attempt is aborted. A late response of unrepeatable work is still useful: a resend of the
+     * request then gets the real outcome.
+     */
+    private long abortAt(AttemptRecord record) {
+        return record.repeatable() ? record.expiresAt() : record.expiresAt() + limits.abortGraceMicros();
     }
 
-    private void fallDue(AttemptRecord record, List<AgentAction> actions) {
+    private void onDue(AttemptRecord record, List<AgentAction> actions) {
         switch (record.state()) {
-            case WAITING -> refuseWaiting(record, "deadline", actions);
+            case WAITING -> refuseQueued(record, "deadline", actions);
             case RUNNING -> abort(record, "deadline", actions);
             default -> records.forget(record);
         }
--- a/library/src/main/java/org/copperspindle/agent/EngineOrderCaller.java
+++ b/library/src/main/java/org/copperspindle/agent/EngineOrderCaller.java
@@ -7,8 +7,8 @@
 import org.copperspindle.fleet.EngineRequest;
 
 /**
- * Sends the calls of orders to the upstream. A load may take minutes, so no time limit is set here; the leader gives an
- * order up by its own settings.
+ * Sends the calls of engine orders to the upstream. Loading may take minutes, so no timeout is set here; the leader's
+ * settings decide when an order has failed.
  */
 final class EngineOrderCaller implements EngineOrderClient {
 
--- a/library/src/main/java/org/copperspindle/agent/ForgottenAttempts.java
+++ b/library/src/main/java/org/copperspindle/agent/ForgottenAttempts.java
@@ -1,44 +1,52 @@
 package org.copperspindle.agent;
 
 /**
- * What remains of attempts whose records are gone: three readings of the agent's clock, whatever their number.
- * Safeguard: a bounded table has to forget, and must then neither run an order that it has refused, nor call an attempt
- * not run that it has run. The caller would get a doubled install in both cases; enough, because each mark covers every
- * record that was dropped, and errs on the side of refusing and of promising nothing.
+ * Marks left by attempts whose records were removed: three readings of the agent's clock, whatever the number of
+ * attempts. A bounded table has to forget records, and must afterwards neither run an order that it has refused, nor
+ * report an attempt as not run that has run; in both cases the caller's request could take effect twice. Each mark
+ * covers every removed record, and errs towards refusing an order and towards not reporting {@code NOT_RUN}.
  */
 final class ForgottenAttempts {
 
     private long floor;
-    private long repeatableUpTo = -1;
-    private long unrepeatableUpTo = -1;
+    private long lastRepeatableStart = -1;
+    private long lastUnrepeatableStart = -1;
 
-    /** A refusal was sent, or a record dropped, while a copy of its order could still be accepted. */
-    void raiseFloor(long lapsesAt) {
-        floor = Math.max(floor, lapsesAt);
+    /**
+     * Covers a refusal without a record, or a record that was removed while a copy of its order could still be
+     * accepted.
+     */
+    void raiseFloor(long acceptableUntil) {
+        floor = Math.max(floor, acceptableUntil);
     }
 
-    /** Says whether an unknown order may be a copy of one that was refused: then it is refused too. */
-    boolean belowFloor(long lapsesAt) {
-        return lapsesAt <= floor;
+    /** Returns whether an unknown order may be a copy of a refused one and has to be refused too. */
+    boolean belowFloor(long acceptableUntil) {
+        return acceptableUntil <= floor;
     }
 
-    /** The record of an attempt that ran is gone. Unrepeatable ones are marked apart, because they are kept longer. */
-    void ran(AttemptRecord record) {
+    /**
+     * Covers an attempt that ran and whose record was removed. Unrepeatable attempts have a mark of their own, because
+     * their records are kept longer.
+     */
+    void addRan(AttemptRecord record) {
         if (record.repeatable()) {
-            repeatableUpTo = Math.max(repeatableUpTo, record.startedAt());
+            lastRepeatableStart = Math.max(lastRepeatableStart, record.startedAt());
         } else {
-            unrepeatableUpTo = Math.max(unrepeatableUpTo, record.startedAt());
+            lastUnrepeatableStart = Math.max(lastUnrepeatableStart, record.startedAt());
         }
     }
 
     /**
-     * Says whether an unknown attempt is proven never to have run in this life. It started, if it did, after the reading
-     * that was known before it was dispatched; so it is not among the forgotten ones if they all started before.
+     * Returns whether an unknown attempt is proven never to have run in this incarnation. If it started, it did so
+     * after the clock reading that was known before its dispatch; so if all forgotten attempts started before that
+     * reading, it is not one of them.
      *
      * @param clockMicros  a reading from before the attempt was dispatched
      * @param unrepeatable whether the attempt is known to be unrepeatable
      */
     boolean neverRan(long clockMicros, boolean unrepeatable) {
-        return clockMicros > (unrepeatable ? unrepeatableUpTo : Math.max(repeatableUpTo, unrepeatableUpTo));
+        return clockMicros
+                > (unrepeatable ? lastUnrepeatableStart : Math.max(lastRepeatableStart, lastUnrepeatableStart));
     }
 }
--- a/library/src/main/java/org/copperspindle/agent/LoadReportMessage.java
+++ b/library/src/main/java/org/copperspindle/agent/LoadReportMessage.java
@@ -6,14 +6,14 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * Load and clock of an agent: sent when an entry subscribes, and now and then afterwards.
+ * Load and clock of an agent, sent when an entry subscribes and periodically afterwards.
  *
  * @param upstreamId the upstream
- * @param sequence number of the report in this life of the agent
+ * @param sequence number of the report in this incarnation of the agent
  * @param inFlight attempts running now
  * @param reportedLoad load that the upstream reported last, -1 if it reports none
- * @param agentIncarnation this life of the agent
- * @param clockMicros reading of this life's clock, always above 0
+ * @param agentIncarnation incarnation of the agent
+ * @param clockMicros reading of the clock of this incarnation, always above 0
  * @param queued attempts waiting at the agent
  * @param loadAgeMillis age of {@code reportedLoad}, -1 if there is none
  * @param refusing whether the agent refuses new work now
--- a/library/src/main/java/org/copperspindle/agent/LoadReporter.java
+++ b/library/src/main/java/org/copperspindle/agent/LoadReporter.java
@@ -7,31 +7,32 @@
 import org.copperspindle.wire.Peer;
 
 /**
- * Tells subscribed entries the load and the clock of the agent: at each interval while the load changes, at every fifth
- * one while it does not. Outcomes carry the load too, so that only entries that sent nothing depend on this.
+ * Reports the load and the clock of the agent to subscribed entries: at each interval while the load changes, at every
+ * fifth one while it does not. Outcomes carry the load too, so only entries that have sent nothing depend on these
+ * reports.
  */
 final class LoadReporter {
 
-    private static final int QUIET_INTERVALS = 5;
+    private static final int MAX_UNCHANGED_INTERVALS = 5;
 
     private final Map<Peer, Sent> subscribers = new LinkedHashMap<>();
     private long sequence;
 
-    /** An entry subscribes: it gets its first report at once. */
+    /** Adds a subscriber and sends it the first report at once. */
     void subscribe(Peer peer, LoadReportMessage report) {
         if (peer.send(numbered(report))) {
             subscribers.put(peer, new Sent(report, 0));
         }
     }
 
-    /** An interval passed. Connections that have closed are forgotten. */
+    /** Sends reports at the end of an interval. Closed connections are removed. */
     void report(LoadReportMessage report) {
         Iterator<Map.Entry<Peer, Sent>> all = subscribers.entrySet().iterator();
         while (all.hasNext()) {
             Map.Entry<Peer, Sent> entry = all.next();
             Sent sent = entry.getValue();
-            if (sent.sameLoad(report) && sent.quiet() + 1 < QUIET_INTERVALS) {
-                entry.setValue(new Sent(report, sent.quiet() + 1));
+            if (sent.sameLoad(report) && sent.unchangedIntervals() + 1 < MAX_UNCHANGED_INTERVALS) {
+                entry.setValue(new Sent(report, sent.unchangedIntervals() + 1));
             } else if (entry.getKey().send(numbered(report))) {
                 entry.setValue(new Sent(report, 0));
             } else {
@@ -40,8 +41,8 @@
         }
     }
 
-    /** Something changed that entries should know at once. */
-    void announce(LoadReportMessage report) {
+    /** Sends a report to all subscribers at once, after a change that they need to know. */
+    void publish(LoadReportMessage report) {
         subscribers.entrySet().removeIf(entry -> !entry.getKey().send(numbered(report)));
         subscribers.replaceAll((peer, sent) -> new Sent(report, 0));
     }
@@ -54,7 +55,7 @@
         return report.numbered(++sequence);
     }
 
-    private record Sent(LoadReportMessage report, int quiet) {
+    private record Sent(LoadReportMessage report, int unchangedIntervals) {
 
         private boolean sameLoad(LoadReportMessage other) {
             return report.inFlight() == other.inFlight()
--- a/library/src/main/java/org/copperspindle/agent/LoadSubscribeMessage.java
+++ b/library/src/main/java/org/copperspindle/agent/LoadSubscribeMessage.java
@@ -6,7 +6,8 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * First message of an entry on a connection to an agent: asks for {@link LoadReportMessage}s, the first one at once.
+ * First message of an entry on a connection to an agent: subscribes to {@link LoadReportMessage}s, the first of which
+ * is sent at once.
  */
 public record LoadSubscribeMessage() implements WireMessage {
 
--- a/library/src/main/java/org/copperspindle/agent/OutcomeAckMessage.java
+++ b/library/src/main/java/org/copperspindle/agent/OutcomeAckMessage.java
@@ -6,7 +6,7 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * Tells an agent that an outcome was received and may be forgotten.
+ * Acknowledges the receipt of an outcome, which the agent may then forget.
  *
  * @param attemptId the attempt
  */
--- a/library/src/main/java/org/copperspindle/agent/OutcomeQueryMessage.java
+++ b/library/src/main/java/org/copperspindle/agent/OutcomeQueryMessage.java
@@ -6,13 +6,14 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * Asks an agent for the outcome of an attempt that another entry dispatched. The outcome of a running attempt is sent
- * when it ends. An unknown attempt is refused for good and answered {@code NOT_RUN} if the agent can prove that it never
- * ran, {@code MAY_HAVE_RUN} otherwise.
+ * Queries an agent for the outcome of an attempt, which another entry may have dispatched. The outcome of a running
+ * attempt is sent when it ends. If the agent can prove that an unknown attempt never ran, it refuses it from then on
+ * and responds {@code NOT_RUN}; otherwise it responds {@code MAY_HAVE_RUN}.
  *
  * @param attemptId the attempt
- * @param agentIncarnation life of the agent that the attempt was dispatched to, 0 if not known; proves nothing then
- * @param clockMicros a reading of that life's clock from before the attempt was dispatched, 0 if not known
+ * @param agentIncarnation incarnation of the agent that the attempt was dispatched to, 0 if not known; without
+ *     it the agent can't prove that the attempt never ran
+ * @param clockMicros a reading of that incarnation's clock from before the attempt was dispatched, 0 if not known
  * @param unrepeatable whether the attempt is known to be unrepeatable; records of those are kept longer
  */
 public record OutcomeQueryMessage(String attemptId, long agentIncarnation, long clockMicros, boolean unrepeatable)
@@ -26,7 +27,7 @@
      * Creates a query without a reading of the agent's clock.
      *
      * @param attemptId        the attempt
-     * @param agentIncarnation life of the agent that the attempt was dispatched to, 0 if not known
+     * @param agentIncarnation incarnation of the agent that the attempt was dispatched to, 0 if not known
      */
     public OutcomeQueryMessage(String attemptId, long agentIncarnation) {
         this(attemptId, agentIncarnation, 0, false);
--- a/library/src/main/java/org/copperspindle/agent/OutcomeStore.java
+++ b/library/src/main/java/org/copperspindle/agent/OutcomeStore.java
@@ -5,9 +5,9 @@
 import java.util.Set;
 
 /**
- * Bounds the bytes of kept answers. Answers that may be lost go first: acknowledged ones by age, then repeatable ones
- * by age. Safeguard: dropping the unacknowledged answer of an unrepeatable attempt would lose work that can't be done
- * again; enough, because room for the largest answer is reserved before such an attempt is accepted.
+ * Limits the bytes of kept responses. Bodies are dropped in this order: acknowledged ones by age, then those of
+ * repeatable attempts by age. Dropping the unacknowledged response of an unrepeatable attempt would lose work that
+ * can't be repeated; space for the largest response is therefore reserved before such an attempt is accepted.
  */
 final class OutcomeStore {
 
@@ -25,13 +25,13 @@
         this.reservation = reservation;
     }
 
-    /** Reserves room for the answer of an unrepeatable attempt. */
+    /** Reserves space for the response of an unrepeatable attempt. Returns false if there is not enough. */
     boolean reserve() {
         if (irreplaceableBytes + (reservations + 1) * reservation > limit) {
             return false;
         }
         reservations++;
-        shrink();
+        enforceLimit();
         return true;
     }
 
@@ -47,7 +47,7 @@
         } else if (record.bodyBytes() > 0) {
             repeatable.add(record);
         }
-        shrink();
+        enforceLimit();
     }
 
     void acknowledge(AttemptRecord record) {
@@ -61,7 +61,7 @@
                 acknowledged.add(record);
             }
         } else if (record.bodyBytes() > 0) {
-            // Nobody asks for it again: a resent repeatable request is simply run.
+            // It is not queried again: a resend of a repeatable request is simply run.
             remove(record);
             record.dropBody();
         }
@@ -82,12 +82,12 @@
         return bytes;
     }
 
-    /** Returns how many answers someone may still ask for. */
+    /** Returns the number of responses that an entry may still query. */
     int unacknowledged() {
         return unacknowledged + repeatable.size();
     }
 
-    private void shrink() {
+    private void enforceLimit() {
         long target = limit - reservations * reservation;
         dropUntil(acknowledged, target);
         dropUntil(repeatable, target);
--- a/library/src/main/java/org/copperspindle/agent/ResponseRelay.java
+++ b/library/src/main/java/org/copperspindle/agent/ResponseRelay.java
@@ -13,9 +13,9 @@
 import org.copperspindle.wire.Peer;
 
 /**
- * Gathers the response of one attempt and passes the pieces of a streamed one on. Written by the client's network
- * thread. The upstream is not read while the ordering connection holds unsent bytes above its high-water mark, so that a
- * slow entry holds one attempt's answer and not an endless stream in this process.
+ * Collects the response of one attempt and relays the chunks of a streamed one. Called on the client's network thread.
+ * The upstream is not read while the ordering connection holds unsent bytes above its high-water mark, so that a slow
+ * entry makes this process buffer at most one attempt's response.
  */
 final class ResponseRelay implements UpstreamResponseListener {
 
@@ -25,34 +25,34 @@
     private final Peer orderedBy;
     private final Set<Integer> refusalStatuses;
     private final LongSupplier nanoTime;
-    private final Consumer<RelayedResponse> end;
+    private final Consumer<RelayedResponse> onResult;
     private final long startedAt;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream(256);
     private Optional<UpstreamHead> head = Optional.empty();
     private long chunks;
-    private boolean broken;
+    private boolean relayFailed;
 
     /**
      * Creates a relay.
      *
      * @param order           the attempt
-     * @param orderedBy       where pieces go
-     * @param refusalStatuses statuses by which this upstream says that it did not run a call
-     * @param nanoTime        time
-     * @param end             told the outcome once, on the network thread
+     * @param orderedBy       connection that chunks are relayed to
+     * @param refusalStatuses HTTP statuses that mean that the upstream did not run a call
+     * @param nanoTime        clock in nanoseconds
+     * @param onResult        receives the result once, on the network thread
      */
     ResponseRelay(
             AttemptOrderMessage order,
             Peer orderedBy,
             Set<Integer> refusalStatuses,
             LongSupplier nanoTime,
-            Consumer<RelayedResponse> end) {
+            Consumer<RelayedResponse> onResult) {
         this.order = order;
         this.orderedBy = orderedBy;
         this.refusalStatuses = refusalStatuses;
         this.nanoTime = nanoTime;
         this.startedAt = nanoTime.getAsLong();
-        this.end = end;
+        this.onResult = onResult;
     }
 
     @Override
@@ -63,15 +63,15 @@
     @Override
     public void onData(byte[] data) {
         body.writeBytes(data);
-        if (order.streaming() && !broken) {
-            broken = !orderedBy.send(new AttemptChunkMessage(order.attemptId(), chunks, data));
+        if (order.streaming() && !relayFailed) {
+            relayFailed = !orderedBy.send(new AttemptChunkMessage(order.attemptId(), chunks, data));
             chunks++;
         }
     }
 
     @Override
-    public boolean wantsMore() {
-        return !order.streaming() || broken || orderedBy.isWritable();
+    public boolean acceptsMore() {
+        return !order.streaming() || relayFailed || orderedBy.isWritable();
     }
 
     @Override
@@ -84,7 +84,7 @@
 
     @Override
     public void onFailure(boolean sent, String reason) {
-        // A piece of an answer is no answer: only what the framing shows to be whole is kept.
+        // A partial response is discarded: only a response that the framing shows to be whole is kept.
         finish(sent ? new MayHaveRunVerdict(reason) : new NotRunVerdict(reason), NO_BODY, false);
     }
 
@@ -100,21 +100,21 @@
                 (nanoTime.getAsLong() - startedAt) / 1000,
                 0,
                 -1);
-        boolean passedOn = complete && order.streaming() && !broken;
-        end.accept(new RelayedResponse(
+        boolean passedOn = complete && order.streaming() && !relayFailed;
+        onResult.accept(new RelayedResponse(
                 outcome, passedOn, head.map(UpstreamHead::load).orElse(-1)));
     }
 
     /**
-     * How a call to the upstream ended.
+     * Result of a call to the upstream.
      *
      * @param outcome  outcome of the attempt, without load and duration
-     * @param passedOn whether every piece of the answer was sent to the ordering connection
+     * @param passedOn whether every chunk of the response was sent to the ordering connection
      * @param load     load that the upstream reported, -1 if none
      */
     record RelayedResponse(AttemptOutcomeMessage outcome, boolean passedOn, int load) {
 
-        /** Returns whether the upstream could not even be connected to. */
+        /** Returns whether no connection to the upstream could be opened. */
         boolean neverConnected() {
             return outcome.verdict().reason().equals(UpstreamClient.CONNECT_FAILED);
         }
--- a/library/src/main/java/org/copperspindle/agent/StampedOrderMessage.java
+++ b/library/src/main/java/org/copperspindle/agent/StampedOrderMessage.java
@@ -6,12 +6,12 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * An order with its end in the agent's own clock, so that the agent can tell a delayed copy without trusting another
- * VM's clock; stamped by {@link AgentClock} just before it is sent.
+ * An order with its deadline in the agent's own clock, so that the agent can recognize a delayed copy without relying
+ * on another VM's clock. Stamped by {@link AgentClock} just before it is sent.
  *
  * @param order           the order
  * @param expiresAtMicros the request's deadline in the agent's clock
- * @param clockMicros     the agent's clock reading that the deadline was worked out from
+ * @param clockMicros     the agent's clock reading that the deadline was computed from
  */
 public record StampedOrderMessage(AttemptOrderMessage order, long expiresAtMicros, long clockMicros)
         implements WireMessage {
@@ -26,7 +26,7 @@
     /**
      * Returns the identity of the attempt.
      *
-     * @return the order's
+     * @return the attempt id of the order
      */
     public String attemptId() {
         return order.attemptId();
--- a/library/src/main/java/org/copperspindle/agent/StatusListener.java
+++ b/library/src/main/java/org/copperspindle/agent/StatusListener.java
@@ -3,23 +3,23 @@
 import java.util.function.IntConsumer;
 
 /**
- * Keeps the status of one response, whose body does not matter. The callbacks run on the client's network thread.
+ * Reports the status of one response, whose body is ignored. The callbacks run on the client's network thread.
  */
 final class StatusListener implements UpstreamResponseListener {
 
-    private final IntConsumer answered;
-    private final Runnable lost;
+    private final IntConsumer onStatus;
+    private final Runnable onLost;
     private int status;
 
     /**
      * Creates a listener for one call.
      *
-     * @param answered told the status of a whole response
-     * @param lost     run if the response will never be whole
+     * @param onStatus receives the status of a whole response
+     * @param onLost   run if no whole response was received
      */
-    StatusListener(IntConsumer answered, Runnable lost) {
-        this.answered = answered;
-        this.lost = lost;
+    StatusListener(IntConsumer onStatus, Runnable onLost) {
+        this.onStatus = onStatus;
+        this.onLost = onLost;
     }
 
     @Override
@@ -33,17 +33,17 @@
     }
 
     @Override
-    public boolean wantsMore() {
+    public boolean acceptsMore() {
         return true;
     }
 
     @Override
     public void onEnd() {
-        answered.accept(status);
+        onStatus.accept(status);
     }
 
     @Override
     public void onFailure(boolean sent, String reason) {
-        lost.run();
+        onLost.run();
     }
 }
--- a/library/src/main/java/org/copperspindle/agent/UpstreamClient.java
+++ b/library/src/main/java/org/copperspindle/agent/UpstreamClient.java
@@ -29,13 +29,13 @@
 import org.copperspindle.fleet.EngineRequest;
 
 /**
- * HTTP client of an agent towards its one upstream, with one network thread. Repeatable calls share a bounded number of
- * kept connections. Safeguard: an unrepeatable call always gets a new connection; on a kept one that the upstream has
- * just closed it would be lost in a way that can't be told from one that ran.
+ * HTTP client of an agent for its one upstream, with one network thread. Repeatable calls share a bounded number of
+ * kept connections. An unrepeatable call always gets a new connection: on a kept one that the upstream has just closed,
+ * a lost call could not be told from one that ran.
  */
 public final class UpstreamClient implements AutoCloseable {
 
-    /** Reason of a call that found no connection. */
+    /** Failure reason of a call for which no connection could be opened. */
     static final String CONNECT_FAILED = "connect-failed";
 
     private static final int CONNECT_TIMEOUT_MILLIS = 500;
@@ -53,7 +53,7 @@
      * Creates a client.
      *
      * @param address the upstream
-     * @param maxIdle connections that are kept open for later calls at most
+     * @param maxIdle most idle connections that are kept open for later calls
      */
     public UpstreamClient(InetSocketAddress address, int maxIdle) {
         this.address = address;
@@ -64,8 +64,8 @@
      * Starts a call. Callable from any thread.
      *
      * @param call     what to send
-     * @param listener hears the response
-     * @return aborts the call for the given reason
+     * @param listener receives the response
+     * @return a handle that aborts the call for a given reason
      */
     public Consumer<String> call(UpstreamCall call, UpstreamResponseListener listener) {
         UpstreamExchange exchange = new UpstreamExchange(call, listener);
@@ -76,7 +76,7 @@
     /**
      * Opens a connection and closes it again without sending anything.
      *
-     * @param reached told on the network thread whether it stood
+     * @param reached receives, on the network thread, whether the connection was opened
      */
     void connectOnly(Consumer<Boolean> reached) {
         UpstreamConnection connection = new UpstreamConnection(owner);
@@ -87,7 +87,7 @@
     }
 
     /**
-     * Returns the network thread, for tasks that wait for the ring.
+     * Returns the network thread, for tasks that are retried until the ring accepts them.
      *
      * @return its event loop
      */
@@ -102,7 +102,7 @@
 
     private void start(UpstreamExchange exchange) {
         if (exchange.mayUsePooled()) {
-            // The one used last is the least likely to have been closed by the upstream.
+            // The connection used last is the least likely to have been closed by the upstream.
             for (UpstreamConnection kept = idle.pollLast(); kept != null; kept = idle.pollLast()) {
                 if (kept.isOpen()) {
                     kept.use(exchange, request(exchange.call()));
@@ -163,7 +163,7 @@
         return request;
     }
 
-    /** Keeps the idle connections. */
+    /** Manages the idle connections. */
     private final class Owner implements UpstreamConnection.Owner {
 
         @Override
--- a/library/src/main/java/org/copperspindle/agent/UpstreamConnection.java
+++ b/library/src/main/java/org/copperspindle/agent/UpstreamConnection.java
@@ -17,14 +17,13 @@
 import io.netty.handler.codec.http.LastHttpContent;
 
 /**
- * One connection to the upstream. It carries one call at a time and is used again only after a whole answer with
- * nothing behind it. Safeguard: bytes left from one answer, or a second copy of it, would be read as the answer to the
- * next call, and a caller would get another caller's result; enough, because any byte that no call waits for closes the
- * connection.
+ * One connection to the upstream. It carries one call at a time and is reused only after a whole response with no bytes
+ * behind it. Bytes left over from one response, or a second copy of it, would be read as the response to the next call,
+ * and a caller would get another caller's result; so any byte that no call waits for closes the connection.
  */
 final class UpstreamConnection extends SimpleChannelInboundHandler<HttpObject> {
 
-    private static final long LOOK_AGAIN_MILLIS = 5;
+    private static final long RESUME_CHECK_MILLIS = 5;
 
     private final Owner owner;
     private Channel channel;
@@ -71,12 +70,12 @@
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
         if (exchange == null || done) {
-            // Nobody waits for this: a second answer, or bytes behind the first.
+            // No call waits for this: a second response, or bytes behind the first.
             ctx.close();
             return;
         }
         if (part.decoderResult().isFailure()) {
-            spoil("malformed response");
+            failAndClose("malformed response");
             return;
         }
         if (part instanceof HttpResponse head) {
@@ -103,7 +102,7 @@
         if (lost == null) {
             return;
         }
-        if (usedBefore && lost.tryAgain()) {
+        if (usedBefore && lost.tryResend()) {
             owner.resend(lost);
             return;
         }
@@ -120,7 +119,7 @@
 
     private void receiveHead(HttpResponse head) {
         if (!written) {
-            spoil("response before the request was sent");
+            failAndClose("response before the request was sent");
             return;
         }
         skipping = head.status().codeClass() == HttpStatusClass.INFORMATIONAL;
@@ -129,12 +128,12 @@
         }
         String id = head.headers().get("X-Request-Id", exchange.call().requestId());
         if (!id.equals(exchange.call().requestId())) {
-            spoil("response to another request");
+            failAndClose("response to another request");
             return;
         }
-        // An unrepeatable call came on a connection of its own and would only crowd out the kept ones.
+        // An unrepeatable call has a connection of its own, which would only displace the kept ones.
         keepAlive = HttpUtil.isKeepAlive(head) && exchange.call().repeatable();
-        // A body that ends with the connection could have been cut anywhere: it can't be shown to be whole.
+        // A body delimited by the end of the connection may be truncated: it can't be shown to be whole.
         framed = HttpUtil.isTransferEncodingChunked(head)
                 || head.headers().contains(HttpHeaderNames.CONTENT_LENGTH)
                 || head.status().equals(HttpResponseStatus.NO_CONTENT)
@@ -153,25 +152,25 @@
             byte[] data = new byte[buffer.readableBytes()];
             buffer.readBytes(data);
             if (!exchange.onData(data)) {
-                spoil("response too large");
+                failAndClose("response too large");
                 return;
             }
         }
         if (!last) {
-            if (!exchange.wantsMore()) {
+            if (!exchange.acceptsMore()) {
                 pause();
             }
             return;
         }
         if (!framed) {
-            spoil("response without a declared end");
+            failAndClose("response without a declared end");
             return;
         }
         done = true;
         exchange.end();
     }
 
-    private void spoil(String reason) {
+    private void failAndClose(String reason) {
         exchange.fail(reason);
         channel.close();
     }
@@ -193,32 +192,32 @@
         }
         paused = true;
         channel.config().setAutoRead(false);
-        lookAgainLater();
+        scheduleResumeCheck();
     }
 
-    private void lookAgainLater() {
-        channel.eventLoop().schedule(this::lookAgain, LOOK_AGAIN_MILLIS, TimeUnit.MILLISECONDS);
+    private void scheduleResumeCheck() {
+        channel.eventLoop().schedule(this::resumeIfAccepted, RESUME_CHECK_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private void lookAgain() {
-        if (exchange != null && !exchange.wantsMore() && channel.isOpen()) {
-            lookAgainLater();
+    private void resumeIfAccepted() {
+        if (exchange != null && !exchange.acceptsMore() && channel.isOpen()) {
+            scheduleResumeCheck();
             return;
         }
         paused = false;
         channel.config().setAutoRead(true);
     }
 
-    /** Who hands out the connections. */
+    /** Manages the connections. */
     interface Owner {
 
-        /** The connection can carry another call. */
+        /** Called when the connection can carry another call. */
         void idle(UpstreamConnection connection);
 
-        /** The connection is gone. */
+        /** Called when the connection is closed. */
         void closed(UpstreamConnection connection);
 
-        /** The call was lost with a used connection and goes out on a new one. */
+        /** Called when the call was lost with a reused connection and is to be sent on a new one. */
         void resend(UpstreamExchange exchange);
     }
 }
--- a/library/src/main/java/org/copperspindle/agent/UpstreamExchange.java
+++ b/library/src/main/java/org/copperspindle/agent/UpstreamExchange.java
@@ -3,7 +3,8 @@
 import io.netty.channel.Channel;
 
 /**
- * One call on its way, owned by the client's network thread. Ends once, whatever the connection does.
+ * One call in progress, used only by the client's network thread. Ends exactly once, whatever happens to the
+ * connection.
  */
 final class UpstreamExchange {
 
@@ -13,7 +14,7 @@
     private boolean sent;
     private boolean headSeen;
     private boolean ended;
-    private boolean secondTry;
+    private boolean resent;
     private String abortReason;
     private long received;
 
@@ -26,7 +27,7 @@
         return call;
     }
 
-    /** The request is about to be written: from here on the upstream may run it. */
+    /** Records that the request is about to be written: from here on the upstream may run it. */
     void sendingOn(Channel used) {
         channel = used;
         sent = true;
@@ -38,9 +39,9 @@
     }
 
     /**
-     * Takes a piece of the body.
+     * Receives a part of the body.
      *
-     * @return false if the answer has grown too large
+     * @return false if the response is too large
      */
     boolean onData(byte[] data) {
         received += data.length;
@@ -51,8 +52,8 @@
         return true;
     }
 
-    boolean wantsMore() {
-        return ended || listener.wantsMore();
+    boolean acceptsMore() {
+        return ended || listener.acceptsMore();
     }
 
     void end() {
@@ -69,7 +70,7 @@
         }
     }
 
-    /** Ends the call by closing its connection; a call that has none yet is never sent. */
+    /** Aborts the call by closing its connection; a call without one is never sent. */
     void abort(String reason) {
         if (ended) {
             return;
@@ -88,16 +89,16 @@
         return ended;
     }
 
-    /** Says whether the call may be sent once more on a new connection, and notes that it is. */
-    boolean tryAgain() {
-        if (!call.repeatable() || headSeen || secondTry || aborted()) {
+    /** Returns whether the call may be sent once more on a new connection, and records that it is. */
+    boolean tryResend() {
+        if (!call.repeatable() || headSeen || resent || aborted()) {
             return false;
         }
-        secondTry = true;
+        resent = true;
         return true;
     }
 
     boolean mayUsePooled() {
-        return call.repeatable() && !secondTry;
+        return call.repeatable() && !resent;
     }
 }
--- a/library/src/main/java/org/copperspindle/agent/UpstreamHead.java
+++ b/library/src/main/java/org/copperspindle/agent/UpstreamHead.java
@@ -5,7 +5,7 @@
 import io.netty.handler.codec.http.HttpResponse;
 
 /**
- * What the head of an upstream's response says.
+ * Head of an upstream's response.
  *
  * @param status      HTTP status
  * @param contentType content type, empty if none
@@ -13,7 +13,7 @@
  */
 public record UpstreamHead(int status, String contentType, int load) {
 
-    /** Response header by which an upstream reports its load: a whole number, requests running and waiting there. */
+    /** Response header in which an upstream reports its load: the number of requests running and waiting there. */
     public static final String LOAD_HEADER = "Upstream-Load";
 
     static UpstreamHead of(HttpResponse response) {
--- a/library/src/main/java/org/copperspindle/agent/UpstreamHealth.java
+++ b/library/src/main/java/org/copperspindle/agent/UpstreamHealth.java
@@ -3,19 +3,19 @@
 import java.util.Optional;
 
 /**
- * What the agent believes of its upstream: a pure state machine fed by probes and by failed connects. One answer by
- * which the upstream says that it is leaving counts at once; silence counts only when repeated, so that one lost probe
- * takes no upstream out of service.
+ * Health of the upstream as seen by its agent: a pure state machine driven by probes and failed connects. A response
+ * that the upstream is leaving counts at once; a missing response counts only when repeated, so that one lost probe
+ * does not take an upstream out of service.
  */
 final class UpstreamHealth {
 
-    /** Failures in a row after which the upstream counts as unreachable. */
+    /** Consecutive failures after which the upstream is considered unreachable. */
     static final int FAILURE_LIMIT = 3;
 
     private State state = State.STARTING;
     private int failures;
 
-    /** A probe ended, or a call could not connect. Returns whether the state changed. */
+    /** Handles the result of a probe, or a failed connect of a call. Returns whether the state changed. */
     boolean onProbe(ProbeResult result) {
         State before = state;
         switch (result) {
@@ -51,25 +51,25 @@
         };
     }
 
-    /** What one probe showed. */
+    /** Result of one probe. */
     enum ProbeResult {
-        /** It answered that it takes work. */
+        /** The upstream responded that it accepts work. */
         SERVING,
-        /** It answered that it takes no new work. */
+        /** The upstream responded that it accepts no new work. */
         LEAVING,
-        /** It did not answer. */
+        /** The upstream did not respond. */
         SILENT
     }
 
     /** State of the upstream. */
     enum State {
-        /** Not seen yet in this life of the agent. */
+        /** Not reached yet by this incarnation of the agent. */
         STARTING,
-        /** Takes work. */
+        /** Accepts work. */
         SERVING,
-        /** Takes no new work, by its own word. */
+        /** Accepts no new work, as it reported itself. */
         LEAVING,
-        /** Can't be reached. */
+        /** Unreachable. */
         UNREACHABLE
     }
 }
--- a/library/src/main/java/org/copperspindle/agent/UpstreamLoad.java
+++ b/library/src/main/java/org/copperspindle/agent/UpstreamLoad.java
@@ -1,8 +1,8 @@
 package org.copperspindle.agent;
 
 /**
- * The load that the upstream reported last, and when. Its age travels with reports; a value that is too old
- * is not passed on, so that entries don't take it for a new one.
+ * The load that the upstream reported last, and when. Its age is sent with load reports; a value that is too old is not
+ * reported, so that entries don't take it for a recent one.
  */
 final class UpstreamLoad {
 
@@ -11,7 +11,7 @@
     private int value = -1;
     private long reportedAt;
 
-    /** A response arrived at the given reading of the agent's clock; -1 if it carried no load. */
+    /** Records the load of a response, received at the given reading of the agent's clock; -1 if it carried none. */
     void onResponse(int load, long now) {
         if (load >= 0) {
             value = load;
--- a/library/src/main/java/org/copperspindle/agent/UpstreamProbe.java
+++ b/library/src/main/java/org/copperspindle/agent/UpstreamProbe.java
@@ -9,9 +9,9 @@
 import org.copperspindle.time.TimerSubscription;
 
 /**
- * Asks the upstream how it is, again and again. With a health path it is a GET: 503 says that the upstream is leaving,
- * any other whole answer that it serves. Without one a connection that stands is enough, and no call is made: on a plain
- * service any path might do something.
+ * Health check of the upstream, repeated at an interval. With a health path, a probe is a GET: status 503 means that
+ * the upstream is leaving, any other whole response that it serves. Without one, an established connection suffices and
+ * no call is made, because on a plain service a call to any path might have side effects.
  */
 final class UpstreamProbe {
 
@@ -33,11 +33,11 @@
      * Creates a probe.
      *
      * @param ring     decision ring
-     * @param timers   time
+     * @param timers   timer service
      * @param client   client of the upstream
-     * @param path     path to ask, empty to connect only
-     * @param interval time between two probes; one that takes three of them has failed
-     * @param result   told what each probe showed, on the ring
+     * @param path     path to request, empty to connect only
+     * @param interval interval of probes; a probe that takes three intervals has failed
+     * @param result   receives the result of each probe, on the ring
      */
     UpstreamProbe(
             DecisionRing ring,
@@ -76,12 +76,12 @@
         timeout.cancel();
     }
 
-    /** Hands over what a probe showed; called on the network thread, which never waits for the ring. */
+    /** Hands the result of a probe over to the ring; called on the network thread, which never blocks on the ring. */
     private void report(ProbeResult seen) {
-        ring.offerUntilTaken(() -> take(seen), client.scheduler());
+        ring.offerUntilTaken(() -> onResult(seen), client.scheduler());
     }
 
-    private void take(ProbeResult seen) {
+    private void onResult(ProbeResult seen) {
         timeout.cancel();
         next = timers.schedule(interval.toNanos(), this::start);
         result.accept(seen);
--- a/library/src/main/java/org/copperspindle/agent/UpstreamResponseListener.java
+++ b/library/src/main/java/org/copperspindle/agent/UpstreamResponseListener.java
@@ -1,40 +1,40 @@
 package org.copperspindle.agent;
 
 /**
- * Hears one upstream's response. Called on the client's network thread, in order; exactly one of {@link #onEnd} and
+ * Receives one upstream response. Called on the client's network thread, in order; exactly one of {@link #onEnd} and
  * {@link #onFailure} ends it.
  */
 public interface UpstreamResponseListener {
 
     /**
-     * The head arrived.
+     * Called when the head of the response arrived.
      *
-     * @param head what it says
+     * @param head the head
      */
     void onHead(UpstreamHead head);
 
     /**
-     * A piece of the body arrived.
+     * Called when a part of the body arrived.
      *
-     * @param data the piece
+     * @param data the part
      */
     void onData(byte[] data);
 
     /**
-     * Says whether more of the body can be taken now. While it can't, the connection to the upstream is not read.
+     * Returns whether more of the body is accepted now. While it is not, the connection to the upstream is not read.
      *
-     * @return false to pause
+     * @return false to pause reading
      */
-    boolean wantsMore();
+    boolean acceptsMore();
 
-    /** The framing shows that the response is whole. */
+    /** Called when the framing shows that the response is whole. */
     void onEnd();
 
     /**
-     * The response will never be whole.
+     * Called when the response failed and will never be whole.
      *
      * @param sent   whether any byte of the request may have reached the upstream
-     * @param reason what happened
+     * @param reason reason of the failure
      */
     void onFailure(boolean sent, String reason);
 }
--- a/library/src/main/java/org/copperspindle/agent/package-info.java
+++ b/library/src/main/java/org/copperspindle/agent/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Runs beside one upstream: announces it, executes attempts at most once, keeps outcomes and drains.
+ * The agent of one upstream: announces it, executes each attempt at most once, keeps outcomes, and drains.
  */
 package org.copperspindle.agent;
--- a/library/src/main/java/org/copperspindle/entry/AccessLog.java
+++ b/library/src/main/java/org/copperspindle/entry/AccessLog.java
@@ -8,25 +8,25 @@
 import org.copperspindle.verdict.Verdict;
 
 /**
- * One line for each answer at the callers' door. Header fields are never written: they carry the bearer key.
+ * Writes the access log, one line per response to a caller. Header fields are never logged: they carry the bearer key.
  */
 final class AccessLog {
 
     private static final Logger LOGGER = LogManager.getLogger(AccessLog.class);
 
-    /** Other paths could carry line ends or keys of their own into the log. */
+    /** Paths that may be logged; others could inject line breaks or keys into the log. */
     private static final Pattern PLAIN = Pattern.compile("[\\w./~-]{1,128}");
 
     private AccessLog() {}
 
     /**
-     * Writes the line.
+     * Logs one response.
      *
      * @param exchange  the request
-     * @param requestId identity of the request, empty if it was given none
+     * @param requestId identity of the request, empty if none was assigned
      * @param status    HTTP status
      * @param verdict   whether it ran
-     * @param nanos     from the whole request to the end of its answer
+     * @param nanos     time from the receipt of the whole request to the end of its response
      */
     static void write(HttpExchange exchange, String requestId, int status, Verdict verdict, long nanos) {
         LOGGER.info(
--- a/library/src/main/java/org/copperspindle/entry/AdmissionResult.java
+++ b/library/src/main/java/org/copperspindle/entry/AdmissionResult.java
@@ -4,21 +4,21 @@
 import org.copperspindle.pipeline.PipelineRequest;
 
 /**
- * What an entry decided on one caller's request.
+ * Decision of an entry on one caller's request.
  */
 sealed interface AdmissionResult {
 
     /**
-     * The request is taken on.
+     * The request is admitted.
      *
-     * @param request the request with its bounds
+     * @param request the request with its deadline and priority bounded
      */
     record Admitted(PipelineRequest request) implements AdmissionResult {}
 
     /**
      * The request is refused and does not run.
      *
-     * @param answer what the caller is told
+     * @param answer response to the caller
      */
     record Refused(PipelineAnswer answer) implements AdmissionResult {}
 }
--- a/library/src/main/java/org/copperspindle/entry/AgentLinks.java
+++ b/library/src/main/java/org/copperspindle/entry/AgentLinks.java
@@ -24,12 +24,14 @@
 import org.copperspindle.wire.WireTransport;
 
 /**
- * One entry's connections to agents, opened on first use and closed when idle. Nothing is sent before the agent has told
- * its clock, because each order is stamped with it.
+ * One entry's connections to agents, opened on first use and closed when idle. Nothing is sent before the agent has
+ * reported its clock, because each order is stamped with a deadline in that clock.
  */
 final class AgentLinks implements AgentPort {
 
-    /** Messages that wait for one connection; beyond it they come back as not sent, and go elsewhere. */
+    /**
+     * Most messages queued for one connection; further ones are reported as not sent, so that they can go elsewhere.
+     */
     static final int MAX_WAITING = 1024;
 
     private static final Logger LOGGER = LogManager.getLogger(AgentLinks.class);
@@ -49,7 +51,7 @@
         this.listener = listener;
     }
 
-    /** Starts to close idle connections. */
+    /** Starts the periodic closing of idle connections. */
     void start() {
         timers.schedule(SWEEP_NANOS, this::sweep);
     }
@@ -67,7 +69,7 @@
 
     @Override
     public long clockMicros(InetSocketAddress agent, long incarnation) {
-        // Connects if need be, so that the clock is known next time.
+        // Connects if there is no connection, so that the clock is known next time.
         return link(agent)
                 .clock
                 .filter(clock -> clock.incarnation() == incarnation)
@@ -93,13 +95,14 @@
                 .forEach(link -> link.peer.close());
     }
 
-    private void notSent(WireMessage message) {
+    private void reportNotSent(WireMessage message) {
         timers.schedule(0, () -> listener.onNotSent(message));
     }
 
-    private record Made(WireMessage message, long at) {}
+    /** A message and the time it was created, in nanoseconds of the timer service. */
+    private record Made(WireMessage message, long createdAt) {}
 
-    /** One connection. */
+    /** One connection to an agent. */
     private final class Link implements PeerListener {
         private final InetSocketAddress address;
         private final List<Made> waiting = new ArrayList<>();
@@ -114,7 +117,7 @@
         private void connect() {
             transport.connect(address, this).whenComplete((channel, failure) -> {
                 if (failure != null) {
-                    ring.offerUntilTaken(this::failed, transport.scheduler());
+                    ring.offerUntilTaken(this::onFailed, transport.scheduler());
                 } else {
                     failWithoutGreeting(channel);
                 }
@@ -122,27 +125,27 @@
         }
 
         private void failWithoutGreeting(Channel channel) {
-            // A peer that accepts and never greets is closed without onOpen and onClose. Without this, all messages to
-            // that agent would wait here for ever, each until its request's deadline.
-            channel.closeFuture().addListener(closed -> ring.offerUntilTaken(this::failed, transport.scheduler()));
+            // A peer that accepts and never sends its greeting is closed without onOpen and onClose. Without this
+            // listener, all messages to that agent would be queued here until the deadlines of their requests.
+            channel.closeFuture().addListener(closed -> ring.offerUntilTaken(this::onFailed, transport.scheduler()));
         }
 
-        private void send(Made made) {
+        private void send(Made queued) {
             usedAt = timers.nanoTime();
-            WireMessage message = made.message();
+            WireMessage message = queued.message();
             if (peer != null && clock.isPresent()) {
                 Optional<? extends WireMessage> stamped = message instanceof AttemptOrderMessage order
-                        ? clock.get().stamp(order, made.at(), usedAt)
+                        ? clock.get().stamp(order, queued.createdAt(), usedAt)
                         : Optional.of(message);
                 if (stamped.isEmpty() || !peer.send(stamped.get())) {
-                    notSent(message);
+                    reportNotSent(message);
                 }
             } else if (message instanceof AttemptCancelMessage cancel && withdraw(cancel.attemptId())) {
                 LOGGER.debug("event=order-withdrawn attempt={}", cancel.attemptId());
             } else if (waiting.size() < MAX_WAITING) {
-                waiting.add(made);
+                waiting.add(queued);
             } else {
-                notSent(message);
+                reportNotSent(message);
             }
         }
 
@@ -151,11 +154,11 @@
                     && order.attemptId().equals(attemptId));
         }
 
-        private void failed() {
+        private void onFailed() {
             links.remove(address, this);
             List<Made> unsent = List.copyOf(waiting);
             waiting.clear();
-            unsent.forEach(made -> listener.onNotSent(made.message()));
+            unsent.forEach(queued -> listener.onNotSent(queued.message()));
         }
 
         private void receive(WireMessage message) {
@@ -186,7 +189,7 @@
         @Override
         public boolean onClose(Peer closed) {
             return ring.offer(() -> {
-                failed();
+                onFailed();
                 listener.onLinkLost(address);
             });
         }
--- a/library/src/main/java/org/copperspindle/entry/AgentListener.java
+++ b/library/src/main/java/org/copperspindle/entry/AgentListener.java
@@ -5,12 +5,12 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * Hears what comes from agents, on the decision ring.
+ * Receives messages and connection events of agents, on the decision ring.
  */
 interface AgentListener {
 
     /**
-     * A message arrived.
+     * Called when a message arrived.
      *
      * @param agent   address of the agent
      * @param message the message
@@ -18,14 +18,14 @@
     void onMessage(InetSocketAddress agent, WireMessage message);
 
     /**
-     * A message was not sent: no byte of it left this process, and none will.
+     * Called when a message was not sent: no byte of it left this process, and none will.
      *
      * @param message the message
      */
     void onNotSent(WireMessage message);
 
     /**
-     * The connection ended; what was sent may or may not have arrived.
+     * Called when the connection was lost; what was sent on it may or may not have arrived.
      *
      * @param agent address of the agent
      */
--- a/library/src/main/java/org/copperspindle/entry/AgentPort.java
+++ b/library/src/main/java/org/copperspindle/entry/AgentPort.java
@@ -5,12 +5,12 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * How an entry reaches agents. Called on the decision ring; never blocks.
+ * Sends messages of an entry to agents. Called on the decision ring; never blocks.
  */
 interface AgentPort {
 
     /**
-     * Sends a message, connecting first where needed. What can't be sent comes back by
+     * Sends a message, connecting first if needed. A message that can't be sent is reported through
      * {@link AgentListener#onNotSent}, never from inside this call.
      *
      * @param agent   address of the agent
@@ -19,7 +19,7 @@
     void send(InetSocketAddress agent, WireMessage message);
 
     /**
-     * Says whether there is a connection.
+     * Returns whether there is an open connection.
      *
      * @param agent address of the agent
      * @return false if it is not open, or not yet
@@ -27,11 +27,11 @@
     boolean isOpen(InetSocketAddress agent);
 
     /**
-     * Returns what is known of an agent's clock.
+     * Returns the latest known clock reading of an agent.
      *
      * @param agent       address of the agent
-     * @param incarnation life of the agent that is meant
-     * @return a reading in microseconds, 0 if none of that life is known
+     * @param incarnation incarnation of the agent
+     * @return a reading in microseconds, 0 if none of that incarnation is known
      */
     long clockMicros(InetSocketAddress agent, long incarnation);
 }
--- a/library/src/main/java/org/copperspindle/entry/AnswerSink.java
+++ b/library/src/main/java/org/copperspindle/entry/AnswerSink.java
@@ -3,31 +3,31 @@
 import org.copperspindle.pipeline.PipelineAnswer;
 
 /**
- * Where one caller's answer goes. Called on the decision ring; never blocks.
+ * Receives the response to one caller. Called on the decision ring; never blocks.
  */
 public interface AnswerSink {
 
     /**
-     * Passes on a piece of a streamed answer.
+     * Writes a chunk of a streamed response.
      *
      * @param text generated text
      */
-    void piece(String text);
+    void writeChunk(String text);
 
     /**
-     * Returns what waits for the caller to read. The entry ends an answer whose caller reads too slowly.
+     * Returns the number of bytes buffered for the caller. The entry aborts a response whose caller reads too slowly.
      *
-     * @return bytes handed over and not yet taken by the network
+     * @return bytes written and not yet sent to the network
      */
     default long waitingBytes() {
         return 0;
     }
 
     /**
-     * Ends the answer.
+     * Ends the response.
      *
      * @param requestId identity of the request
-     * @param answer    the final answer
+     * @param answer    the final response
      */
     void end(String requestId, PipelineAnswer answer);
 }
--- a/library/src/main/java/org/copperspindle/entry/CallerRequest.java
+++ b/library/src/main/java/org/copperspindle/entry/CallerRequest.java
@@ -6,14 +6,14 @@
 import org.copperspindle.config.Priority;
 
 /**
- * One request as a caller sent it, before it is judged.
+ * One request as a caller sent it, before admission.
  *
  * @param pipeline  pipeline or service named in the path
  * @param service   whether the path names a service
  * @param bearer    bearer key, empty if none was sent
  * @param key       idempotency key
- * @param deadline  deadline asked for
- * @param priority  priority asked for
+ * @param deadline  requested deadline
+ * @param priority  requested priority
  * @param streaming whether the caller accepts server-sent events
  * @param body      whole body
  */
--- a/library/src/main/java/org/copperspindle/entry/CallerRequestReader.java
+++ b/library/src/main/java/org/copperspindle/entry/CallerRequestReader.java
@@ -18,7 +18,8 @@
 import org.copperspindle.pipeline.StageContext;
 
 /**
- * Reads what a caller asks for from its HTTP request. Checks the form only; whether the account may is judged later.
+ * Parses a caller's HTTP request. Checks the syntax only; whether the account is authorized is checked later by
+ * admission.
  */
 final class CallerRequestReader {
 
@@ -33,7 +34,7 @@
 
     private static final String NOT_JSON = "not-json";
 
-    /** Fields of which two lines would leave open which one counts. */
+    /** Header fields that must not be repeated, because it would be ambiguous which value counts. */
     private static final List<String> SINGLE = List.of(AUTHORIZATION, IDEMPOTENCY_KEY, DEADLINE, PRIORITY);
 
     private static final Pattern BEARER = Pattern.compile("(?i:bearer) +([A-Za-z0-9._~+/-]+=*)");
@@ -44,13 +45,13 @@
     private CallerRequestReader() {}
 
     /**
-     * Reads a request.
+     * Parses a request.
      *
      * @param exchange a {@code POST} to a pipeline or service
-     * @return what it asks for, or why that can't be told
+     * @return the parsed request, or why it is malformed
      */
     static CallerRequestResult read(HttpExchange exchange) {
-        CallerRequestResult result = judge(exchange);
+        CallerRequestResult result = parse(exchange);
         boolean keyed = exchange.header(IDEMPOTENCY_KEY)
                 .filter(k -> KEY.matcher(k).matches())
                 .isPresent();
@@ -63,8 +64,9 @@
     }
 
     /**
-     * An earlier arrival of the key may have come with other fields and have run. Not so for a body that is not JSON, nor
-     * for a key that is none: no entry ever takes those on.
+     * Turns a refusal into one that does not rule out an earlier run: an earlier request with the key may have had
+     * other header fields and have run. This is not needed for a body that is not JSON, nor for an invalid key, because
+     * no entry ever accepts those.
      */
     private static ProblemDetails mayBeResend(ProblemDetails problem) {
         return new ProblemDetails(
@@ -75,7 +77,7 @@
                 problem.retryAfter());
     }
 
-    private static CallerRequestResult judge(HttpExchange exchange) {
+    private static CallerRequestResult parse(HttpExchange exchange) {
         for (String field : SINGLE) {
             if (exchange.headerCount(field) > 1) {
                 return refused("bad-request", 400, field + " is given more than once");
@@ -95,7 +97,7 @@
         if (priorityName.isPresent() && priority.isEmpty()) {
             return refused("bad-request", 400, PRIORITY + " is not interactive, standard or batch");
         }
-        Optional<ProblemDetails> problem = service ? Optional.empty() : judgeMedia(exchange);
+        Optional<ProblemDetails> problem = service ? Optional.empty() : checkMediaTypes(exchange);
         if (problem.isPresent()) {
             return new CallerRequestResult.Refused(problem.get());
         }
@@ -110,7 +112,7 @@
                 exchange.body()));
     }
 
-    private static Optional<ProblemDetails> judgeMedia(HttpExchange exchange) {
+    private static Optional<ProblemDetails> checkMediaTypes(HttpExchange exchange) {
         Optional<String> type = exchange.header("Content-Type");
         if (type.isPresent() && !JSON_TYPE.matcher(type.get()).matches()) {
             return Optional.of(ProblemDetails.notRun("media-type", 415, "a pipeline takes application/json"));
@@ -118,18 +120,18 @@
         if (!isObject(exchange.body())) {
             return Optional.of(ProblemDetails.notRun(NOT_JSON, 400, "the body is not one JSON object"));
         }
-        boolean pieces = accepts(exchange, EVENT_STREAM);
-        if (pieces && !exchange.supportsPieces()) {
+        boolean streaming = accepts(exchange, EVENT_STREAM);
+        if (streaming && !exchange.supportsPieces()) {
             return Optional.of(ProblemDetails.notRun("http-version", 505, "server-sent events need HTTP/1.1"));
         }
-        if (!pieces && !acceptsJson(exchange)) {
+        if (!streaming && !acceptsJson(exchange)) {
             return Optional.of(
                     ProblemDetails.notRun("not-acceptable", 406, "answers are application/json or text/event-stream"));
         }
         return Optional.empty();
     }
 
-    /** Reads over the whole text without building it: a body that fails here is known not to have run anywhere. */
+    /** Scans the whole text without building a tree. A body that fails here is known not to have run anywhere. */
     private static boolean isObject(byte[] body) {
         try (JsonParser parser = StageContext.JSON.createParser(body)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
--- a/library/src/main/java/org/copperspindle/entry/CallerRequestResult.java
+++ b/library/src/main/java/org/copperspindle/entry/CallerRequestResult.java
@@ -3,21 +3,21 @@
 import org.copperspindle.http.ProblemDetails;
 
 /**
- * What a caller's HTTP request says.
+ * Result of parsing a caller's HTTP request.
  */
 sealed interface CallerRequestResult {
 
     /**
-     * It can be judged.
+     * The request is well-formed.
      *
-     * @param request what the caller asks for
+     * @param request the parsed request
      */
     record Read(CallerRequest request) implements CallerRequestResult {}
 
     /**
-     * Its form is wrong; nothing of it was run.
+     * The request is malformed; nothing of it was run.
      *
-     * @param problem the answer
+     * @param problem the response
      */
     record Refused(ProblemDetails problem) implements CallerRequestResult {}
 }
--- a/library/src/main/java/org/copperspindle/entry/DeploymentView.java
+++ b/library/src/main/java/org/copperspindle/entry/DeploymentView.java
@@ -16,7 +16,7 @@
 import org.copperspindle.membership.ControlUpdateMessage;
 
 /**
- * The configuration that one entry serves under.
+ * The configuration in force at one entry, with its client accounts indexed by key digest.
  */
 final class DeploymentView {
 
@@ -24,40 +24,41 @@
 
     private final Map<String, AccountSettings> accountsByDigest = new HashMap<>();
     private final DeploymentReader reader;
-    private final Runnable whenInForce;
+    private final Runnable onInForce;
     private Deployment deployment = Deployment.EMPTY;
     private long version;
-    private long newest;
+    private long newestReceived;
 
     /**
      * Creates a view without a configuration.
      *
-     * @param reader      reads texts
-     * @param whenInForce run each time that another configuration is in force
+     * @param reader      parses configuration texts
+     * @param onInForce   run each time another configuration comes into force
      */
-    DeploymentView(DeploymentReader reader, Runnable whenInForce) {
+    DeploymentView(DeploymentReader reader, Runnable onInForce) {
         this.reader = reader;
-        this.whenInForce = whenInForce;
+        this.onInForce = onInForce;
     }
 
     /**
-     * Has an update's configuration read, if it is newer than all before. It is in force later, once it is read.
+     * Starts to parse the configuration of an update if it is newer than all received before. It comes into force when
+     * parsed.
      *
      * @param update the update
      */
     void update(ControlUpdateMessage update) {
-        long updated = update.configVersion();
-        if (updated <= newest) {
+        long received = update.configVersion();
+        if (received <= newestReceived) {
             return;
         }
-        newest = updated;
-        reader.read(updated, update.configText(), read -> read.ifPresent(found -> putInForce(updated, found)));
+        newestReceived = received;
+        reader.read(received, update.configText(), read -> read.ifPresent(found -> putInForce(received, found)));
     }
 
     /**
-     * Puts a configuration in force. Safeguard: a reading that ends late would bring an older version back after a newer
-     * one was reported, and callers would be served under rules that the operator was told are gone. Only a higher
-     * version is taken, whatever the order in which readings end.
+     * Puts a parsed configuration in force if its version is higher than the current one. Parsing may end out of order;
+     * without the check, an older version could replace one that was already reported, and callers would be served
+     * under rules that operators were told are gone.
      */
     private void putInForce(long read, Deployment found) {
         if (read <= version) {
@@ -68,7 +69,7 @@
         accountsByDigest.clear();
         deployment.accounts().values().forEach(a -> accountsByDigest.put(a.keyDigest(), a));
         LOGGER.info("event=config-in-force version={}", version);
-        whenInForce.run();
+        onInForce.run();
     }
 
     /**
@@ -88,7 +89,7 @@
         return deployment;
     }
 
-    /** Returns the version in force, 0 for none. */
+    /** Returns the version in force, 0 before the first one. */
     long version() {
         return version;
     }
--- a/library/src/main/java/org/copperspindle/entry/EntryCounters.java
+++ b/library/src/main/java/org/copperspindle/entry/EntryCounters.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * What an entry counts besides its answers. Written on the decision ring, readable from any thread.
+ * Counters of one entry other than those of its responses. Written on the decision ring, readable from any thread.
  */
 public final class EntryCounters {
 
@@ -13,28 +13,28 @@
     private final LongAdder notSent = new LongAdder();
     private final LongAdder slowCallers = new LongAdder();
 
-    void droppedChunk() {
+    void incrementDroppedChunks() {
         droppedChunks.increment();
     }
 
-    void droppedOutcome() {
+    void incrementDroppedOutcomes() {
         droppedOutcomes.increment();
     }
 
-    void linkLost() {
+    void incrementLinksLost() {
         linksLost.increment();
     }
 
-    void notSentOnce() {
+    void incrementUnsentMessages() {
         notSent.increment();
     }
 
-    void slowCaller() {
+    void incrementSlowCallers() {
         slowCallers.increment();
     }
 
     /**
-     * Returns the pieces that were late, doubled, foreign or out of order.
+     * Returns the response chunks that were late, duplicate, out of order or of an unknown attempt.
      *
      * @return a count
      */
@@ -43,7 +43,7 @@
     }
 
     /**
-     * Returns the outcomes that were late, doubled or foreign.
+     * Returns the outcomes that were late, duplicate or of an unknown attempt.
      *
      * @return a count
      */
@@ -52,7 +52,7 @@
     }
 
     /**
-     * Returns the connections to agents that ended with work open on them or not.
+     * Returns the connections to agents that were lost, whether or not attempts were open on them.
      *
      * @return a count
      */
@@ -70,7 +70,7 @@
     }
 
     /**
-     * Returns the answers ended because their callers took them too slowly.
+     * Returns the responses aborted because their callers read too slowly.
      *
      * @return a count
      */
--- a/library/src/main/java/org/copperspindle/entry/EntryDoor.java
+++ b/library/src/main/java/org/copperspindle/entry/EntryDoor.java
@@ -15,16 +15,16 @@
  */
 public final class EntryDoor implements HttpRequestHandler {
 
-    private static final Duration COME_BACK = Duration.ofSeconds(1);
+    private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
     private final EntryService entry;
     private final EntryMeasures measures;
 
     /**
-     * Creates the door.
+     * Creates the endpoint.
      *
      * @param entry    serves the requests
-     * @param measures told of refusals
+     * @param measures counts refusals
      */
     public EntryDoor(EntryService entry, EntryMeasures measures) {
         this.entry = entry;
@@ -48,15 +48,15 @@
         if (result instanceof CallerRequestResult.Refused refused) {
             refuse(exchange, refused.problem());
         } else if (result instanceof CallerRequestResult.Read read) {
-            offer(exchange, read.request());
+            submit(exchange, read.request());
         }
     }
 
-    private void offer(HttpExchange exchange, CallerRequest request) {
+    private void submit(HttpExchange exchange, CallerRequest request) {
         Optional<String> requestId = entry.offer(request, new ExchangeSink(exchange, measures));
         if (requestId.isEmpty()) {
-            // The ring is full: the network thread must not wait for it, and nothing of the request was handed over.
-            // Which pipelines may be repeated is not known on this thread.
+            // The ring is full. The network thread must not block on it, and nothing of the request was handed over.
+            // Which pipelines are repeatable is not known on this thread.
             boolean mayBeResend = RefusalVerdictPolicy.mayBeResend(request.key().isPresent(), Optional.empty());
             refuse(exchange, overloaded(mayBeResend));
             return;
@@ -70,7 +70,7 @@
                 RefusalVerdictPolicy.title(mayBeResend, "entry overloaded"),
                 RefusalVerdictPolicy.verdict(mayBeResend, "overload"),
                 "",
-                Optional.of(COME_BACK));
+                Optional.of(RETRY_AFTER));
     }
 
     private void refuse(HttpExchange exchange, ProblemDetails problem) {
--- a/library/src/main/java/org/copperspindle/entry/EntryService.java
+++ b/library/src/main/java/org/copperspindle/entry/EntryService.java
@@ -27,14 +27,14 @@
 import org.copperspindle.wire.WireTransport;
 
 /**
- * One entry: joins the deployment, takes requests on while it may, and leaves without cutting one off. Runs on the
- * decision ring but for {@link #offer}, {@link #callerLeft} and {@link #ready}.
+ * One entry: joins the deployment, accepts requests while it holds its lease, and shuts down without interrupting a
+ * running one. Runs on the decision ring except for {@link #offer}, {@link #callerLeft} and {@link #ready}.
  */
 public final class EntryService implements ControlLinkListener {
 
     private static final Logger LOGGER = LogManager.getLogger(EntryService.class);
     private static final long IDLE_CHECK_NANOS = Duration.ofMillis(20).toNanos();
-    private static final long STOP_PATIENCE_NANOS = Duration.ofSeconds(90).toNanos();
+    private static final long STOP_TIMEOUT_NANOS = Duration.ofSeconds(90).toNanos();
 
     private final DecisionRing ring;
     private final TimerService timers;
@@ -59,12 +59,12 @@
     /**
      * Creates an entry.
      *
-     * @param ring      decision ring that owns it
-     * @param timers    time
+     * @param ring      decision ring that runs it
+     * @param timers    timer service
      * @param transport network
      * @param settings  its settings
      * @param controls  addresses of the control members
-     * @param measures  told how requests end
+     * @param measures  receives the results of requests
      */
     public EntryService(
             DecisionRing ring,
@@ -77,19 +77,20 @@
         this.timers = timers;
         this.transport = transport;
         this.settings = settings;
-        this.deployment = new DeploymentView(new BackgroundDeploymentReader(ring), this::configInForce);
+        this.deployment = new DeploymentView(new BackgroundDeploymentReader(ring), this::onConfigInForce);
         this.measures = measures;
         this.policy = EntryPolicyFactory.of(
                 PolicyKind.ADAPTIVE,
                 fleet,
                 settings.maxInProgress(),
                 settings.listen().hashCode());
-        this.control = new ControlLink(ring, timers, transport, controls, settings.renew(), this::leaseRequest, this);
+        this.control =
+                new ControlLink(ring, timers, transport, controls, settings.renewInterval(), this::leaseRequest, this);
         this.claims = new ClaimClient(timers, control::send);
-        ForwardingListener heard = new ForwardingListener();
-        this.agents = new AgentLinks(ring, timers, transport, heard);
+        ForwardingListener agentListener = new ForwardingListener();
+        this.agents = new AgentLinks(ring, timers, transport, agentListener);
         this.driver = new RequestDriver(timers, agents, claims, fleet, policy, measures);
-        heard.target = driver;
+        agentListener.delegate = driver;
         this.admission = new RequestAdmission(deployment, policy);
     }
 
@@ -100,11 +101,11 @@
     }
 
     /**
-     * Hands over a request from a network thread.
+     * Hands a request from a network thread over to the decision ring.
      *
      * @param request what the caller sent
-     * @param sink    where the answer goes
-     * @return the identity of the request; empty if the ring is full, so that the request was not run
+     * @param sink    receives the response
+     * @return the identity of the request; empty if the ring is full, in which case the request was not run
      */
     public Optional<String> offer(CallerRequest request, AnswerSink sink) {
         String requestId = UUID.randomUUID().toString();
@@ -112,26 +113,27 @@
     }
 
     /**
-     * Notes that a caller went away, from a network thread; it is not blocked while the ring is full.
+     * Records that a caller disconnected. Called on a network thread, which is not blocked while the ring is full.
      *
      * @param requestId identity of its request
      */
     public void callerLeft(String requestId) {
-        // Lost at a full ring, the request would run on until its deadline, and take capacity just when that is short.
+        // If this were dropped at a full ring, the request would run until its deadline and use capacity just when it
+        // is scarce.
         ring.offerUntilTaken(() -> driver.callerLeft(requestId), transport.scheduler());
     }
 
     /**
-     * Says whether the entry serves: it holds its lease and has the newest configuration in force.
+     * Returns whether the entry serves: it holds its lease and has the newest configuration in force.
      *
-     * @return false while starting, cut off or stopping
+     * @return false while starting, isolated from control or stopping
      */
     public boolean ready() {
         return ready;
     }
 
     /**
-     * Says whether the entry holds its lease.
+     * Returns whether the entry holds its lease.
      *
      * @return false while it admits nothing
      */
@@ -149,7 +151,7 @@
     }
 
     /**
-     * Returns what the entry counts besides its answers.
+     * Returns the counters of the entry other than those of its responses.
      *
      * @return the counters
      */
@@ -158,10 +160,10 @@
     }
 
     /**
-     * Stops without cutting a request off: readiness off, wait for the balancer, refuse, finish, settle and acknowledge,
-     * give the lease back.
+     * Stops without interrupting a request: turns readiness off, waits for the load balancer, refuses new requests,
+     * finishes the running ones, settles and acknowledges their outcomes, and releases the lease.
      *
-     * @param done run at the end
+     * @param done run once stopped
      */
     public void stop(Runnable done) {
         stopping = true;
@@ -169,7 +171,7 @@
         LOGGER.info("event=entry-stopping in-progress={}", driver.inProgress());
         timers.schedule(settings.stopDelay().toNanos(), () -> {
             refusing = true;
-            awaitIdle(done, timers.nanoTime() + STOP_PATIENCE_NANOS);
+            awaitIdle(done, timers.nanoTime() + STOP_TIMEOUT_NANOS);
         });
     }
 
@@ -182,7 +184,8 @@
 
     @Override
     public void onLease(boolean held) {
-        // Without the lease nothing new is admitted; what runs goes on under the configuration it was admitted under.
+        // Without the lease nothing new is admitted; running requests continue under the configuration they were
+        // admitted under.
         LOGGER.info("event=lease held={} version={} in-progress={}", held, deployment.version(), driver.inProgress());
         updateReady();
     }
@@ -202,8 +205,8 @@
         claims.onReply(message);
     }
 
-    /** A version is reported once it is in force and not before, or the operator would be told so too early. */
-    private void configInForce() {
+    /** Reports a version only once it is in force; reported earlier, operators would rely on it too soon. */
+    private void onConfigInForce() {
         policy.configure(deployment.deployment());
         updateReady();
         control.renewNow();
@@ -222,7 +225,7 @@
             return;
         }
         if (!idle) {
-            // Settlements that control does not answer: their claims stay held, so nothing runs a second time.
+            // Control did not acknowledge these settlements: their claims stay held, so nothing runs a second time.
             LOGGER.warn("event=stop-unfinished requests={} claims={}", driver.inProgress(), claims.pending());
         }
         control.send(new LeaseRequestMessage(deployment.version(), fleet.revision(), new byte[0], true));
@@ -245,7 +248,8 @@
                     requestId,
                     refused.answer().verdict().reason());
             if (!(refused.answer().verdict() instanceof NotRunVerdict)) {
-                // The sink counts NOT_RUN by itself. Of this one nothing ran either, but its key may have run before.
+                // The sink itself counts NOT_RUN refusals. This request did not run either, but an earlier one with its
+                // key may have.
                 measures.refused(refused.answer().verdict().reason());
             }
             sink.end(requestId, refused.answer());
@@ -267,23 +271,23 @@
         driver.open(request, chooser, sink);
     }
 
-    /** Ties the links and the driver, which need each other, together. */
+    /** Forwards to the driver, which is created after the links because it needs them. */
     private static final class ForwardingListener implements AgentListener {
-        private AgentListener target;
+        private AgentListener delegate;
 
         @Override
         public void onMessage(InetSocketAddress agent, WireMessage message) {
-            target.onMessage(agent, message);
+            delegate.onMessage(agent, message);
         }
 
         @Override
         public void onNotSent(WireMessage message) {
-            target.onNotSent(message);
+            delegate.onNotSent(message);
         }
 
         @Override
         public void onLinkLost(InetSocketAddress agent) {
-            target.onLinkLost(agent);
+            delegate.onLinkLost(agent);
         }
     }
 }
--- a/library/src/main/java/org/copperspindle/entry/EntrySettings.java
+++ b/library/src/main/java/org/copperspindle/entry/EntrySettings.java
@@ -10,36 +10,42 @@
  *
  * @param listen        address for callers
  * @param failureDomain failure domain of its VM
- * @param renew         interval of lease renewals
- * @param maxInProgress requests in progress at once
- * @param stopDelay     time between readiness off and refusing new work, for the platform's balancer to notice
- * @param limits        bounds on callers' connections and requests
+ * @param renewInterval interval of lease renewals
+ * @param maxInProgress most requests in progress at once
+ * @param stopDelay     time between turning readiness off and refusing new work, in which the load balancer notices
+ * @param limits        limits on callers' connections and requests
  */
 public record EntrySettings(
         InetSocketAddress listen,
         String failureDomain,
-        Duration renew,
+        Duration renewInterval,
         int maxInProgress,
         Duration stopDelay,
         HttpLimits limits) {
 
     /**
-     * Makes settings with the usual limits but for the body.
+     * Creates settings with the default limits except for the body.
      *
      * @param listen        address for callers
      * @param failureDomain failure domain of its VM
-     * @param renew         interval of lease renewals
-     * @param maxInProgress requests in progress at once
+     * @param renewInterval interval of lease renewals
+     * @param maxInProgress most requests in progress at once
      * @param maxBodyBytes  longest body of a request
      * @param stopDelay     time between readiness off and refusing new work
      */
     public EntrySettings(
             InetSocketAddress listen,
             String failureDomain,
-            Duration renew,
+            Duration renewInterval,
             int maxInProgress,
             int maxBodyBytes,
             Duration stopDelay) {
-        this(listen, failureDomain, renew, maxInProgress, stopDelay, HttpLimits.DEFAULT.withMaxBody(maxBodyBytes));
+        this(
+                listen,
+                failureDomain,
+                renewInterval,
+                maxInProgress,
+                stopDelay,
+                HttpLimits.DEFAULT.withMaxBody(maxBodyBytes));
     }
 }
--- a/library/src/main/java/org/copperspindle/entry/ExchangeSink.java
+++ b/library/src/main/java/org/copperspindle/entry/ExchangeSink.java
@@ -11,7 +11,7 @@
 import org.copperspindle.verdict.NotRunVerdict;
 
 /**
- * Writes one answer to its exchange: whole, or as server-sent events from the first piece on.
+ * Writes one response to its HTTP exchange: whole, or as server-sent events from the first chunk on.
  */
 final class ExchangeSink implements AnswerSink {
 
@@ -26,7 +26,7 @@
     }
 
     @Override
-    public void piece(String text) {
+    public void writeChunk(String text) {
         if (!started) {
             started = true;
             exchange.start(CallerRequestReader.EVENT_STREAM, Map.of());
--- a/library/src/main/java/org/copperspindle/entry/LateOutcomes.java
+++ b/library/src/main/java/org/copperspindle/entry/LateOutcomes.java
@@ -12,12 +12,12 @@
 import org.copperspindle.verdict.NotRunVerdict;
 
 /**
- * Attempts that no request of this entry waits for any more, and what is done should their outcome come late or again.
+ * Attempts that no request of this entry waits for any more, and how to handle an outcome that still arrives for one.
  *
- * <p>Safeguard: an outcome that nobody acknowledges stays at its agent, which then waits its whole drain time when it
- * stops. An unrepeatable one is acknowledged only after its claim is settled, as for an open attempt: acknowledged
- * earlier, the agent could forget it while the claim reads as open, and a resend would be told {@code MAY_HAVE_RUN}.
- * Enough, because what is not remembered here is left unacknowledged, as before.
+ * <p>An outcome that nobody acknowledges stays at its agent, which then waits its whole drain time when it stops. The
+ * outcome of an unrepeatable attempt is acknowledged only after its claim is settled, as for an open attempt: otherwise
+ * the agent could forget it while the claim still reads as open, and a resend would get {@code MAY_HAVE_RUN}. The
+ * number of attempts is bounded; outcomes of evicted ones stay unacknowledged.
  */
 final class LateOutcomes {
 
@@ -25,7 +25,7 @@
 
     private final AgentPort agents;
     private final ClaimClient claims;
-    /** With the settlement that has to come first, if any. */
+    /** The settlement to complete before the acknowledgement, if any, by attempt id. */
     private final Map<String, Optional<ClaimSettleMessage>> attempts = new LinkedHashMap<>();
 
     LateOutcomes(AgentPort agents, ClaimClient claims) {
@@ -33,19 +33,19 @@
         this.claims = claims;
     }
 
-    /** Notes an attempt whose outcome is of no use to anybody any more. */
+    /** Remembers an attempt whose outcome nobody needs any more. */
     void remember(String attemptId) {
         attempts.put(attemptId, Optional.empty());
-        shrink();
+        evictOldest();
     }
 
-    /** Notes an attempt whose outcome a resend may ask for until its claim is settled. */
+    /** Remembers an attempt whose outcome a resend may query until its claim is settled. */
     void rememberClaimed(ClaimSettleMessage settlement) {
         attempts.putIfAbsent(settlement.attemptId(), Optional.of(settlement));
-        shrink();
+        evictOldest();
     }
 
-    /** Takes an outcome that no request waits for. */
+    /** Handles an outcome that no request waits for. */
     void onOutcome(InetSocketAddress agent, AttemptOutcomeMessage outcome) {
         Optional<ClaimSettleMessage> settlement = attempts.get(outcome.attemptId());
         if (settlement == null) {
@@ -68,7 +68,7 @@
         agents.send(agent, new OutcomeAckMessage(attemptId));
     }
 
-    private void shrink() {
+    private void evictOldest() {
         if (attempts.size() > MAX_ATTEMPTS) {
             attempts.remove(attempts.keySet().iterator().next());
         }
--- a/library/src/main/java/org/copperspindle/entry/OpenAttempt.java
+++ b/library/src/main/java/org/copperspindle/entry/OpenAttempt.java
@@ -39,7 +39,7 @@
         return id;
     }
 
-    /** The upstream that counts this attempt as in flight; empty for one of another arrival. */
+    /** The upstream that counts this attempt as in flight; empty if another request dispatched it. */
     Optional<UpstreamView> dispatchedTo() {
         return dispatchedTo;
     }
@@ -53,7 +53,7 @@
         return since;
     }
 
-    /** Whether a connection that carried it broke. */
+    /** Whether the connection that it was sent on was lost. */
     boolean lost() {
         return lost;
     }
@@ -70,7 +70,7 @@
         agent = address;
     }
 
-    /** Replaces the attempt's timer. */
+    /** Replaces the hedge or query timer of the attempt. */
     void timer(TimerSubscription subscription) {
         timer.cancel();
         timer = subscription;
--- a/library/src/main/java/org/copperspindle/entry/OpenAttempts.java
+++ b/library/src/main/java/org/copperspindle/entry/OpenAttempts.java
@@ -11,20 +11,20 @@
 import org.copperspindle.time.TimerService;
 
 /**
- * The attempts that one entry waits for, by attempt. Several requests may wait for one attempt: a resend through the
- * same entry follows the first arrival's, and neither may take the outcome from the other.
+ * The attempts that one entry waits for, by attempt id. Several requests may wait for the same attempt: a resend
+ * through the same entry waits for the attempt of the first request, and each must receive the outcome.
  */
 final class OpenAttempts {
 
     private final TimerService timers;
     private final EntryPolicy policy;
-    private final WaitingRequests line;
+    private final WaitingRequests waitingRequests;
     private final Map<String, List<OpenAttempt>> attempts = new HashMap<>();
 
-    OpenAttempts(TimerService timers, EntryPolicy policy, WaitingRequests line) {
+    OpenAttempts(TimerService timers, EntryPolicy policy, WaitingRequests waitingRequests) {
         this.timers = timers;
         this.policy = policy;
-        this.line = line;
+        this.waitingRequests = waitingRequests;
     }
 
     OpenAttempt add(OpenAttempt attempt) {
@@ -46,11 +46,11 @@
     }
 
     /**
-     * Stops waiting for an attempt and tells the policy.
+     * Stops waiting for an attempt and reports its end to the policy.
      *
      * @param attempt  the attempt
      * @param end      how it ended
-     * @param inFlight attempts that its agent reported, -1 if none
+     * @param inFlight attempts in flight that its agent reported, -1 if not reported
      */
     void close(OpenAttempt attempt, AttemptEnd end, int inFlight) {
         List<OpenAttempt> waiting = attempts.get(attempt.id());
@@ -62,9 +62,10 @@
         attempt.cancelTimers();
         attempt.dispatchedTo().ifPresent(view -> {
             long now = timers.nanoTime();
-            long took = now - attempt.since();
-            policy.ended(new AttemptReport(attempt.open().request(), attempt.stage(), view, end, took, inFlight), now);
-            line.freed(attempt.stage().pool());
+            long duration = now - attempt.since();
+            policy.ended(
+                    new AttemptReport(attempt.open().request(), attempt.stage(), view, end, duration, inFlight), now);
+            waitingRequests.onCapacity(attempt.stage().pool());
         });
     }
 }
--- a/library/src/main/java/org/copperspindle/entry/OpenRequest.java
+++ b/library/src/main/java/org/copperspindle/entry/OpenRequest.java
@@ -66,7 +66,7 @@
         return actions;
     }
 
-    /** Attempts that the driver has registered for this request. */
+    /** Attempts of this request that the driver waits for. */
     List<OpenAttempt> attempts() {
         return attempts;
     }
@@ -97,7 +97,7 @@
         performing = value;
     }
 
-    /** Returns true the first time only. */
+    /** Marks the request as released to the policy; returns true on the first call only. */
     boolean release() {
         boolean first = !released;
         released = true;
--- a/library/src/main/java/org/copperspindle/entry/OutcomeQueries.java
+++ b/library/src/main/java/org/copperspindle/entry/OutcomeQueries.java
@@ -11,12 +11,15 @@
 import org.copperspindle.time.TimerService;
 
 /**
- * Asks agents for the outcomes that they keep, and asks again until an outcome comes or nobody waits for it.
+ * Queries agents for the outcomes that they keep, and repeats a query until an outcome arrives or nobody waits for it.
  */
 final class OutcomeQueries {
 
-    /** An agent that comes back this quickly is asked for a repeatable stage's outcome before the stage is rerun. */
-    private static final long ASK_AGAIN_NANOS = Duration.ofMillis(250).toNanos();
+    /**
+     * Interval of repeated queries. An agent that is reachable again within this time is queried for a repeatable
+     * stage's outcome before the stage is rerun.
+     */
+    private static final long QUERY_INTERVAL_NANOS = Duration.ofMillis(250).toNanos();
 
     private final TimerService timers;
     private final AgentPort agents;
@@ -33,15 +36,15 @@
         this.handler = handler;
     }
 
-    /** Asks for the outcome of an attempt, of this request's own or one that it follows. */
+    /** Queries the outcome of an attempt, either of this request or one whose outcome it shares. */
     void query(OpenRequest open, PipelineAction.Query query) {
-        OpenAttempt asked = open.attempt(query.attemptId())
+        OpenAttempt queried = open.attempt(query.attemptId())
                 .orElseGet(() -> attempts.add(
                         new OpenAttempt(open, query.attemptId(), null, Optional.empty(), timers.nanoTime())));
-        asked.timer(timers.schedule(query.delay().toNanos(), () -> ask(asked, query)));
+        queried.timer(timers.schedule(query.delay().toNanos(), () -> sendQuery(queried, query)));
     }
 
-    private void ask(OpenAttempt attempt, PipelineAction.Query query) {
+    private void sendQuery(OpenAttempt attempt, PipelineAction.Query query) {
         if (!attempts.isOpen(attempt)) {
             return;
         }
@@ -52,30 +55,30 @@
         }
         InetSocketAddress agent = view.get().announcement().agentAddress();
         attempt.agent(agent);
-        attempt.timer(timers.schedule(ASK_AGAIN_NANOS, () -> askAgain(attempt, query)));
+        attempt.timer(timers.schedule(QUERY_INTERVAL_NANOS, () -> onNoOutcome(attempt, query)));
         agents.send(
                 agent,
                 new OutcomeQueryMessage(
                         query.attemptId(), query.incarnation(), query.clockMicros(), !query.repeatable()));
     }
 
-    private void askAgain(OpenAttempt attempt, PipelineAction.Query query) {
+    private void onNoOutcome(OpenAttempt attempt, PipelineAction.Query query) {
         if (!attempts.isOpen(attempt)) {
             return;
         }
         if (agents.isOpen(attempt.agent())) {
-            // The agent is there and silent: the attempt still runs. Asked again in case the question was lost.
-            attempt.timer(timers.schedule(ASK_AGAIN_NANOS, () -> ask(attempt, query)));
+            // The agent is connected and silent: the attempt still runs. The query is repeated in case it was lost.
+            attempt.timer(timers.schedule(QUERY_INTERVAL_NANOS, () -> sendQuery(attempt, query)));
         } else {
             handler.unreachable(attempt, false);
         }
     }
 
-    /** Told of attempts whose agent can't be asked. */
+    /** Handles attempts whose agent can't be queried. */
     interface UnreachableHandler {
 
         /**
-         * The agent of an attempt could not be asked.
+         * Handles an attempt whose agent could not be queried.
          *
          * @param attempt the attempt
          * @param gone    whether its upstream is no longer known
--- a/library/src/main/java/org/copperspindle/entry/RequestAdmission.java
+++ b/library/src/main/java/org/copperspindle/entry/RequestAdmission.java
@@ -13,9 +13,9 @@
 import org.copperspindle.pipeline.RefusalVerdictPolicy;
 
 /**
- * Judges callers' requests: who calls, what may be called, within which bounds. A refusal comes before anything
- * is claimed or dispatched, so nothing of this arrival runs; an earlier arrival of the same key may have run under an
- * older configuration, in which the account was known and allowed.
+ * Admission of callers' requests: authenticates the account, checks what it may call, and bounds deadline and priority.
+ * A refusal comes before any claim or dispatch, so nothing of this request runs. An earlier request with the same key
+ * may still have run under an older configuration that knew and allowed the account.
  */
 final class RequestAdmission {
 
@@ -24,7 +24,7 @@
     private static final int NOT_FOUND = 404;
     private static final int TOO_MANY_REQUESTS = 429;
     private static final int UNAVAILABLE = 503;
-    private static final Duration COME_BACK = Duration.ofSeconds(1);
+    private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
     private final DeploymentView view;
     private final EntryPolicy policy;
@@ -34,24 +34,26 @@
         this.policy = policy;
     }
 
-    /** An entry that does not serve takes nothing on. */
+    /** Refuses a request because this entry does not serve now. */
     AdmissionResult notServing(CallerRequest request) {
         boolean mayBeResend = mayBeResend(request, pipeline(request));
-        return refuse(mayBeResend, "not-serving", UNAVAILABLE, "this entry does not serve now", Optional.of(COME_BACK));
+        return refuse(
+                mayBeResend, "not-serving", UNAVAILABLE, "this entry does not serve now", Optional.of(RETRY_AFTER));
     }
 
     /**
-     * Judges one request.
+     * Decides on one request.
      *
-     * @param requestId identity of this arrival
+     * @param requestId identity of this request
      * @param request   what the caller sent
      * @param now       nanoseconds of the timer service
-     * @return the decision; an admitted request must be given back to the policy
+     * @return the decision; an admitted request must be released to the policy at its end
      */
     AdmissionResult admit(String requestId, CallerRequest request, long now) {
         Optional<AccountSettings> account = view.authenticate(request.bearer());
         if (account.isEmpty()) {
-            // Judged by the key alone: a stranger must not learn from the verdict which pipelines there are.
+            // The verdict depends on the key alone, so that an unauthenticated caller can't learn which pipelines
+            // exist.
             boolean keyed = request.key().isPresent();
             return refuse(keyed, "unknown-key", UNAUTHORIZED, "unknown bearer key", Optional.empty());
         }
--- a/library/src/main/java/org/copperspindle/entry/RequestDriver.java
+++ b/library/src/main/java/org/copperspindle/entry/RequestDriver.java
@@ -34,18 +34,18 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * Carries out the actions of the requests in progress and feeds back what comes of them. Runs on the decision ring;
- * network, time and claims come in through interfaces, so that tests drive it in virtual time.
+ * Executes the actions of the requests in progress and feeds the resulting events back into their runs. Runs on the
+ * decision ring; network, timers and claims are passed in as interfaces, so that tests drive it in virtual time.
  */
 final class RequestDriver implements AgentListener {
 
-    /** Bytes of a streamed answer that may wait for one slow caller. */
+    /** Bytes of a streamed response that may be buffered for one slow caller. */
     static final long MAX_WAITING_BYTES = 1 << 20;
 
     private static final Logger LOGGER = LogManager.getLogger(RequestDriver.class);
 
-    private static final long LINGER_NANOS = Duration.ofSeconds(30).toNanos();
-    private static final Duration COME_BACK = Duration.ofSeconds(1);
+    private static final long LATE_OUTCOME_WAIT_NANOS = Duration.ofSeconds(30).toNanos();
+    private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
     private static final int SERVER_ERROR = 500;
 
     private final TimerService timers;
@@ -53,13 +53,13 @@
     private final ClaimClient claims;
     private final FleetView fleet;
     private final EntryPolicy policy;
-    private final WaitingRequests line;
+    private final WaitingRequests waitingRequests;
     private final EntryMeasures measures;
     private final EntryCounters counters = new EntryCounters();
     private final Map<String, OpenRequest> requests = new HashMap<>();
     private final OpenAttempts attempts;
-    private final LateOutcomes late;
-    private final OutcomeQueries queries;
+    private final LateOutcomes lateOutcomes;
+    private final OutcomeQueries outcomeQueries;
 
     RequestDriver(
             TimerService timers,
@@ -74,18 +74,18 @@
         this.fleet = fleet;
         this.policy = policy;
         this.measures = measures;
-        this.line = new WaitingRequests(timers, policy, this::resume);
-        this.attempts = new OpenAttempts(timers, policy, line);
-        this.late = new LateOutcomes(agents, claims);
-        this.queries = new OutcomeQueries(timers, agents, fleet, attempts, this::unreachable);
+        this.waitingRequests = new WaitingRequests(timers, policy, this::resume);
+        this.attempts = new OpenAttempts(timers, policy, waitingRequests);
+        this.lateOutcomes = new LateOutcomes(agents, claims);
+        this.outcomeQueries = new OutcomeQueries(timers, agents, fleet, attempts, this::unreachable);
     }
 
     /**
-     * Takes an admitted request on.
+     * Starts an admitted request.
      *
      * @param request the request
-     * @param chooser the choices under its configuration
-     * @param sink    where its answer goes
+     * @param chooser upstream choices under its configuration
+     * @param sink    receives its response
      */
     void open(PipelineRequest request, UpstreamChooser chooser, AnswerSink sink) {
         OpenRequest open = new OpenRequest(request, chooser, sink, timers.nanoTime());
@@ -97,7 +97,7 @@
     }
 
     /**
-     * Notes that a caller went away.
+     * Records that a caller disconnected.
      *
      * @param requestId identity of its request
      */
@@ -109,7 +109,7 @@
         }
     }
 
-    /** Returns the requests in progress, those included whose unrepeatable attempt outlives their answer. */
+    /** Returns the number of requests in progress, including answered ones whose unrepeatable attempt still runs. */
     int inProgress() {
         return requests.size();
     }
@@ -123,7 +123,7 @@
         if (message instanceof AttemptChunkMessage chunk) {
             List<OpenAttempt> waiting = attempts.waiting(chunk.attemptId());
             if (waiting.isEmpty()) {
-                counters.droppedChunk();
+                counters.incrementDroppedChunks();
             }
             waiting.forEach(a -> perform(a.open(), a.open().run().onChunk(chunk)));
         } else if (message instanceof AttemptOutcomeMessage outcome) {
@@ -135,7 +135,7 @@
 
     @Override
     public void onNotSent(WireMessage message) {
-        counters.notSentOnce();
+        counters.incrementUnsentMessages();
         if (message instanceof AttemptOrderMessage order) {
             onOrderNotSent(order.attemptId());
         } else if (message instanceof OutcomeQueryMessage query) {
@@ -145,7 +145,7 @@
 
     @Override
     public void onLinkLost(InetSocketAddress agent) {
-        counters.linkLost();
+        counters.incrementLinksLost();
         List<OpenAttempt> lost =
                 attempts.all().stream().filter(a -> agent.equals(a.agent())).toList();
         for (OpenAttempt attempt : lost) {
@@ -159,11 +159,11 @@
     private void onOutcome(InetSocketAddress agent, AttemptOutcomeMessage outcome) {
         List<OpenAttempt> waiting = attempts.waiting(outcome.attemptId());
         if (waiting.isEmpty()) {
-            counters.droppedOutcome();
-            late.onOutcome(agent, outcome);
+            counters.incrementDroppedOutcomes();
+            lateOutcomes.onOutcome(agent, outcome);
         }
         for (OpenAttempt attempt : waiting) {
-            attempts.close(attempt, endOf(outcome), outcome.inFlight());
+            attempts.close(attempt, attemptEnd(outcome), outcome.inFlight());
             measures.attemptEnded(
                     attempt.open().request().pipeline().name(),
                     attempt.stage().name(),
@@ -173,7 +173,7 @@
         }
     }
 
-    /** No byte of the order was sent and none will be: the proof that this attempt never runs. */
+    /** No byte of the order was sent and none will be, which proves that this attempt never runs. */
     private void onOrderNotSent(String attemptId) {
         AttemptOutcomeMessage outcome = new AttemptOutcomeMessage(
                 attemptId, new NotRunVerdict("not-sent"), 0, "", new byte[0], false, 0, 0, -1, -1);
@@ -187,7 +187,7 @@
         perform(attempt.open(), attempt.open().run().onUnreachable(attempt.id(), gone, timers.nanoTime()));
     }
 
-    /** Carries out actions in order. What they cause in turn is queued behind them, never run in their midst. */
+    /** Executes actions in order. Actions that result from them are queued behind them, so that calls don't nest. */
     private void perform(OpenRequest open, List<PipelineAction> actions) {
         open.actions().addAll(actions);
         if (open.performing()) {
@@ -203,7 +203,7 @@
         } finally {
             open.performing(false);
         }
-        settle(open);
+        closeFinished(open);
     }
 
     private void perform(OpenRequest open, PipelineAction action) {
@@ -216,16 +216,16 @@
         } else if (action instanceof PipelineAction.Settle settle) {
             claims.settle(settle.settle(), () -> settle.acknowledge().ifPresent(this::acknowledge));
         } else if (action instanceof PipelineAction.Query query) {
-            queries.query(open, query);
+            outcomeQueries.query(open, query);
         } else if (action instanceof PipelineAction.Cancel cancel) {
-            late.remember(cancel.attemptId());
+            lateOutcomes.remember(cancel.attemptId());
             sendTo(cancel.upstreamId(), new AttemptCancelMessage(cancel.attemptId()));
         } else if (action instanceof PipelineAction.Acknowledge acknowledge) {
             acknowledge(acknowledge);
         } else if (action instanceof PipelineAction.Piece piece) {
-            piece(open, piece.text());
+            sendChunk(open, piece.text());
         } else if (action instanceof PipelineAction.Dropped dropped) {
-            drop(dropped);
+            countDropped(dropped);
         } else if (action instanceof PipelineAction.Wait wait) {
             waitFor(open, wait.pool());
         } else if (action instanceof PipelineAction.Answer answer) {
@@ -252,15 +252,15 @@
         }
         OptionalLong timeout = policy.attemptTimeout(open.request(), open.run().stage(), now);
         if (timeout.isPresent()) {
-            attempt.timeout(timers.schedule(timeout.getAsLong(), () -> timedOut(attempt)));
+            attempt.timeout(timers.schedule(timeout.getAsLong(), () -> onAttemptTimeout(attempt)));
         }
         agents.send(agent, order);
     }
 
     private void waitFor(OpenRequest open, String pool) {
-        long patience = open.chooser().enqueue(open.request(), timers.nanoTime());
-        open.waiting(timers.schedule(patience, () -> perform(open, open.run().onDeadlineUnreachable(COME_BACK))));
-        line.waits(pool);
+        long maxWait = open.chooser().enqueue(open.request(), timers.nanoTime());
+        open.waiting(timers.schedule(maxWait, () -> perform(open, open.run().onDeadlineUnreachable(RETRY_AFTER))));
+        waitingRequests.onQueued(pool);
     }
 
     private void resume(PipelineRequest request) {
@@ -277,7 +277,7 @@
         }
     }
 
-    private void timedOut(OpenAttempt attempt) {
+    private void onAttemptTimeout(OpenAttempt attempt) {
         PipelineRun run = attempt.open().run();
         if (!attempts.isOpen(attempt) || attempt.dispatchedTo().isEmpty()) {
             return;
@@ -287,14 +287,14 @@
         boolean abandon = policy.mayAbandon(
                 attempt.open().request(), run.stage(), attempt.dispatchedTo().get(), age, now);
         if (!abandon || !run.stage().repeatable() || !run.hasAttemptsLeft()) {
-            attempt.timeout(timers.schedule(age / 2, () -> timedOut(attempt)));
+            attempt.timeout(timers.schedule(age / 2, () -> onAttemptTimeout(attempt)));
         } else {
             attempts.close(attempt, AttemptEnd.TIMED_OUT, -1);
             perform(attempt.open(), run.onGivenUp(attempt.id(), "attempt-timeout", timers.nanoTime()));
         }
     }
 
-    private static AttemptEnd endOf(AttemptOutcomeMessage outcome) {
+    private static AttemptEnd attemptEnd(AttemptOutcomeMessage outcome) {
         if (outcome.verdict() instanceof NotRunVerdict) {
             return AttemptEnd.REFUSED;
         }
@@ -305,7 +305,7 @@
     }
 
     private void acknowledge(PipelineAction.Acknowledge acknowledge) {
-        late.remember(acknowledge.attemptId());
+        lateOutcomes.remember(acknowledge.attemptId());
         sendTo(acknowledge.upstreamId(), new OutcomeAckMessage(acknowledge.attemptId()));
     }
 
@@ -314,20 +314,21 @@
                 .ifPresent(view -> agents.send(view.announcement().agentAddress(), message));
     }
 
-    private void piece(OpenRequest open, String text) {
-        open.sink().piece(text);
+    private void sendChunk(OpenRequest open, String text) {
+        open.sink().writeChunk(text);
         if (open.sink().waitingBytes() > MAX_WAITING_BYTES && !open.run().answered()) {
-            // A caller that does not read would make the entry hold the whole answer, times the number of such callers.
-            counters.slowCaller();
+            // A caller that does not read would make the entry buffer its whole response, times the number of such
+            // callers.
+            counters.incrementSlowCallers();
             perform(open, open.run().onSlowCaller());
         }
     }
 
-    private void drop(PipelineAction.Dropped dropped) {
+    private void countDropped(PipelineAction.Dropped dropped) {
         if (dropped.what().equals("chunk")) {
-            counters.droppedChunk();
+            counters.incrementDroppedChunks();
         } else {
-            counters.droppedOutcome();
+            counters.incrementDroppedOutcomes();
         }
     }
 
@@ -344,20 +345,20 @@
         open.sink().end(open.id(), answer);
     }
 
-    /** Forgets what the run no longer waits for. */
-    private void settle(OpenRequest open) {
+    /** Closes attempts that the run no longer waits for, and forgets the request once it is answered and closed. */
+    private void closeFinished(OpenRequest open) {
         List<String> waitedFor = open.run().openAttempts();
-        // What is still registered here was cancelled or lost: an attempt with an outcome is closed before its run goes
-        // on.
+        // An attempt still registered here was cancelled or lost: one with an outcome is closed before its run
+        // continues.
         List.copyOf(open.attempts()).stream()
                 .filter(attempt -> !waitedFor.contains(attempt.id()))
-                .forEach(attempt -> letGo(attempt, attempt.lost() ? AttemptEnd.LOST : AttemptEnd.WITHDRAWN));
+                .forEach(attempt -> closeUnawaited(attempt, attempt.lost() ? AttemptEnd.LOST : AttemptEnd.WITHDRAWN));
         if (open.run().answered() && open.release()) {
             open.cancelDeadline();
             policy.release(open.request());
             if (!open.run().closed()) {
                 LOGGER.info("event=attempt-outlives-request request={}", open.id());
-                open.deadline(timers.schedule(LINGER_NANOS, () -> forget(open)));
+                open.deadline(timers.schedule(LATE_OUTCOME_WAIT_NANOS, () -> forget(open)));
             }
         }
         if (open.run().closed()) {
@@ -368,15 +369,15 @@
     private void forget(OpenRequest open) {
         open.cancelDeadline();
         requests.remove(open.id());
-        List.copyOf(open.attempts()).forEach(attempt -> letGo(attempt, AttemptEnd.WITHDRAWN));
+        List.copyOf(open.attempts()).forEach(attempt -> closeUnawaited(attempt, AttemptEnd.WITHDRAWN));
     }
 
-    private void letGo(OpenAttempt attempt, AttemptEnd end) {
+    private void closeUnawaited(OpenAttempt attempt, AttemptEnd end) {
         attempts.close(attempt, end, -1);
         if (attempt.stage().repeatable()) {
-            late.remember(attempt.id());
+            lateOutcomes.remember(attempt.id());
         } else {
-            late.rememberClaimed(attempt.open()
+            lateOutcomes.rememberClaimed(attempt.open()
                     .request()
                     .settlement(attempt.stage(), attempt.id(), new MayHaveRunVerdict("outcome-late")));
         }
--- a/library/src/main/java/org/copperspindle/entry/RunChooser.java
+++ b/library/src/main/java/org/copperspindle/entry/RunChooser.java
@@ -19,8 +19,8 @@
 import org.copperspindle.time.TimerService;
 
 /**
- * What one run asks of its entry. Holds the configuration that the run was admitted under: with the newest one in its
- * place, a change that drops a pool would end runs that were promised it.
+ * Upstream choices for one run of a request. It uses the configuration that the request was admitted under: under the
+ * newest one, a change that removes a pool would end runs that were admitted with it.
  */
 final class RunChooser implements UpstreamChooser {
 
@@ -31,7 +31,7 @@
     private final EntryPolicy policy;
     private final TimerService timers;
     private final AgentPort agents;
-    private RoutingRequest missed;
+    private RoutingRequest lastRoutingRequest;
 
     RunChooser(
             DeploymentView view,
@@ -53,9 +53,9 @@
     public Optional<UpstreamAnnouncement> choose(StageSettings stage, StageContext context, Set<String> tried) {
         PoolSettings pool = deployment.pools().get(stage.pool());
         long affinity = pool.kind() == PoolKind.ENGINE ? PrefixAffinity.hash(context.input()) : 0;
-        missed = new RoutingRequest(
+        lastRoutingRequest = new RoutingRequest(
                 pool, stage, failureDomain, affinity, tried, request.priority(), timers.nanoTime(), 1);
-        return policy.choose(request, missed, timers.nanoTime()).map(UpstreamView::announcement);
+        return policy.choose(request, lastRoutingRequest, timers.nanoTime()).map(UpstreamView::announcement);
     }
 
     @Override
@@ -75,12 +75,12 @@
 
     @Override
     public long enqueue(PipelineRequest waiting, long now) {
-        return policy.enqueue(waiting, missed, now);
+        return policy.enqueue(waiting, lastRoutingRequest, now);
     }
 
     @Override
-    public Optional<Duration> retryAfterIfUnreachable(PipelineRequest judged, int stageIndex, long now) {
-        return policy.retryAfterIfUnreachable(judged, stageIndex, now);
+    public Optional<Duration> retryAfterIfUnreachable(PipelineRequest checked, int stageIndex, long now) {
+        return policy.retryAfterIfUnreachable(checked, stageIndex, now);
     }
 
     @Override
--- a/library/src/main/java/org/copperspindle/entry/WaitingRequests.java
+++ b/library/src/main/java/org/copperspindle/entry/WaitingRequests.java
@@ -12,45 +12,48 @@
 import org.copperspindle.time.TimerService;
 
 /**
- * Lets requests that wait for an upstream go on when one may be used.
+ * Resumes requests that wait for an upstream once one has capacity.
  */
 final class WaitingRequests {
 
-    /** An ejection ends without any message, so pools with a line are looked at again after this time. */
-    private static final long LOOK_AGAIN_NANOS = Duration.ofMillis(100).toNanos();
+    /** Interval of rechecks: the end of an ejection causes no event, so pools with queued requests are polled. */
+    private static final long RECHECK_NANOS = Duration.ofMillis(100).toNanos();
 
     private final TimerService timers;
     private final EntryPolicy policy;
-    private final Consumer<PipelineRequest> resumed;
-    private final DeferredTask lookAgain;
-    private final Set<String> freed = new TreeSet<>();
-    private final Set<String> watched = new TreeSet<>();
+    private final Consumer<PipelineRequest> onResumed;
+    private final DeferredTask recheck;
+    private final Set<String> freedPools = new TreeSet<>();
+    private final Set<String> queuedPools = new TreeSet<>();
     private boolean resuming;
 
-    WaitingRequests(TimerService timers, EntryPolicy policy, Consumer<PipelineRequest> resumed) {
+    WaitingRequests(TimerService timers, EntryPolicy policy, Consumer<PipelineRequest> onResumed) {
         this.timers = timers;
         this.policy = policy;
-        this.resumed = resumed;
-        this.lookAgain = new DeferredTask(timers, this::lookAgain);
+        this.onResumed = onResumed;
+        this.recheck = new DeferredTask(timers, this::recheck);
     }
 
-    /** A request got in line for a pool. */
-    void waits(String pool) {
-        watched.add(pool);
-        lookAgain.schedule(LOOK_AGAIN_NANOS);
+    /** Records that a request was queued for a pool. */
+    void onQueued(String pool) {
+        queuedPools.add(pool);
+        recheck.schedule(RECHECK_NANOS);
     }
 
-    /** Room may have come in a pool. What that causes in turn is queued behind it, so that nothing nests. */
-    void freed(String pool) {
-        freed.add(pool);
+    /**
+     * Resumes requests of a pool that may have capacity. Pools that are freed meanwhile are processed afterwards in the
+     * same loop, so that calls don't nest.
+     */
+    void onCapacity(String pool) {
+        freedPools.add(pool);
         if (resuming) {
             return;
         }
         resuming = true;
         try {
-            while (!freed.isEmpty()) {
-                String next = freed.iterator().next();
-                freed.remove(next);
+            while (!freedPools.isEmpty()) {
+                String next = freedPools.iterator().next();
+                freedPools.remove(next);
                 resume(next);
             }
         } finally {
@@ -61,18 +64,18 @@
     private void resume(String pool) {
         Optional<PipelineRequest> next = policy.next(pool, timers.nanoTime());
         while (next.isPresent()) {
-            resumed.accept(next.get());
+            onResumed.accept(next.get());
             next = policy.next(pool, timers.nanoTime());
         }
     }
 
-    private void lookAgain() {
-        Set<String> pools = new TreeSet<>(watched);
-        watched.clear();
+    private void recheck() {
+        Set<String> pools = new TreeSet<>(queuedPools);
+        queuedPools.clear();
         for (String pool : pools) {
-            freed(pool);
+            onCapacity(pool);
             if (policy.hasWaiting(pool)) {
-                waits(pool);
+                onQueued(pool);
             }
         }
     }
--- a/library/src/main/java/org/copperspindle/entry/package-info.java
+++ b/library/src/main/java/org/copperspindle/entry/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Front door for callers: HTTP, authentication, admission, whole answers or server-sent events.
+ * The HTTP interface for callers: authentication, admission, dispatch to agents, and whole responses or server-sent
+ * events.
  */
 package org.copperspindle.entry;
--- a/library/src/test/java/org/copperspindle/agent/AgentFaultTest.java
+++ b/library/src/test/java/org/copperspindle/agent/AgentFaultTest.java
@@ -17,28 +17,28 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** One agent over real sockets, with a fault at the worst moment on the entry's or the upstream's side. */
+/** Tests one agent over real sockets, with a fault at the worst moment on the entry's or the upstream's side. */
 @Timeout(120)
 class AgentFaultTest {
 
     private final Semaphore gate = new Semaphore(0);
     private final Semaphore arrived = new Semaphore(0);
 
-    /** Answers a call when the test opens the gate. */
+    /** Returns an upstream that responds to a call when the test releases the gate. */
     private SocketUpstream gated() throws Exception {
         return new SocketUpstream((socket, request, call) -> {
             arrived.release();
             gate.acquireUninterruptibly();
-            SocketUpstream.send(socket, SocketUpstream.whole("done"));
+            SocketUpstream.send(socket, SocketUpstream.response("done"));
         });
     }
 
     /**
      * The order for an install arrives three times: twice while it runs, on two connections, and once after it has
-     * ended. It runs once and each connection gets its answer.
+     * ended. It runs once, and each connection gets its outcome.
      */
     @Test
-    void doubledOrderRunsOnce() throws Exception {
+    void duplicateOrderRunsOnce() throws Exception {
         try (SocketUpstream upstream = gated();
                 AgentFixture agent = new AgentFixture(upstream)) {
             AgentFixture.Entry first = agent.entry();
@@ -48,7 +48,7 @@
             arrived.acquire();
             first.send(order);
             second.send(order);
-            awaitReportBehind(second);
+            awaitProcessed(second);
             gate.release(3);
 
             assertThat(first.outcome("a").body()).asString().isEqualTo("done");
@@ -60,11 +60,11 @@
     }
 
     /**
-     * An entry stops between claim and dispatch. Another asks for the attempt, is told NOT_RUN and dispatches it anew;
-     * then the first one goes on and sends its order, which must not run.
+     * An entry pauses between claim and dispatch. Another entry queries the attempt, gets NOT_RUN and dispatches a new
+     * one; then the first entry resumes and sends its order, which must not run.
      */
     @Test
-    void orderDelayedBehindItsRefusalDoesNotRun() throws Exception {
+    void orderArrivingAfterItsRefusalDoesNotRun() throws Exception {
         try (SocketUpstream upstream = gated();
                 AgentFixture agent = new AgentFixture(upstream)) {
             AgentFixture.Entry slow = agent.entry();
@@ -81,24 +81,25 @@
     }
 
     /**
-     * The entry's connection is lost while the install runs, after dispatch and before the answer. The install goes on;
-     * the entry that takes over asks, waits, and gets the answer. Nobody acknowledges it, so it is there for the next.
+     * The entry's connection is lost while the install runs, after dispatch and before the response. The install
+     * continues; the entry that takes over queries it, waits, and gets the outcome. It is not acknowledged, so it is
+     * kept for the next query.
      */
     @Test
-    void answerOutlivesTheConnectionThatOrderedIt() throws Exception {
+    void outcomeIsKeptAfterTheOrderingConnectionIsLost() throws Exception {
         try (SocketUpstream upstream = gated();
                 AgentFixture agent = new AgentFixture(upstream)) {
-            AgentFixture.Entry dying = agent.entry();
-            dying.send(dying.order("a", false));
+            AgentFixture.Entry lost = agent.entry();
+            lost.send(lost.order("a", false));
             arrived.acquire();
-            dying.disconnect();
-            AgentFixture.Entry heir = agent.entry();
-            heir.query("a", 7);
-            awaitReportBehind(heir);
+            lost.disconnect();
+            AgentFixture.Entry successor = agent.entry();
+            successor.query("a", 7);
+            awaitProcessed(successor);
             gate.release();
 
-            assertThat(heir.outcome("a").body()).asString().isEqualTo("done");
-            heir.disconnect();
+            assertThat(successor.outcome("a").body()).asString().isEqualTo("done");
+            successor.disconnect();
             AgentFixture.Entry next = agent.entry();
             next.query("a", 7);
             assertThat(next.outcome("a").body()).asString().isEqualTo("done");
@@ -107,11 +108,11 @@
     }
 
     /**
-     * The agent dies while an install runs and comes back as a new life. It can't know whether the install ran, so
-     * neither a query nor a copy of the old order may be answered NOT_RUN, and the copy must not run.
+     * The agent crashes while an install runs and restarts as a new incarnation. It can't know whether the install ran,
+     * so neither a query nor a copy of the old order may get NOT_RUN, and the copy must not run.
      */
     @Test
-    void restartedAgentPromisesNothingForItsFormerLife() throws Exception {
+    void restartedAgentDoesNotReportNotRunForItsFormerIncarnation() throws Exception {
         try (SocketUpstream upstream = gated()) {
             StampedOrderMessage order;
             try (AgentFixture before = new AgentFixture(upstream)) {
@@ -131,9 +132,12 @@
         }
     }
 
-    /** The upstream runs an install and resets before it answers: nobody may be told NOT_RUN, now or later. */
+    /**
+     * The upstream runs an install and resets the connection before it responds: no entry may get NOT_RUN, now or
+     * later.
+     */
     @Test
-    void resetBetweenRunAndAnswerMayHaveRunForEveryAsker() throws Exception {
+    void resetBetweenRunAndResponseIsMayHaveRunForEveryEntry() throws Exception {
         try (SocketUpstream upstream = new SocketUpstream((socket, request, call) -> SocketUpstream.reset(socket));
                 AgentFixture agent = new AgentFixture(upstream)) {
             AgentFixture.Entry first = agent.entry();
@@ -148,11 +152,11 @@
     }
 
     /**
-     * The engine's stream stops after two pieces without its end. The pieces were passed on, but the outcome must say
-     * that the answer is not whole and must not carry it.
+     * The engine's stream stops after two chunks without its end. The chunks were relayed, but the outcome must report
+     * an incomplete response and must not contain it.
      */
     @Test
-    void streamWithoutItsEndIsNoAnswer() throws Exception {
+    void truncatedStreamIsNotAResponse() throws Exception {
         try (SocketUpstream upstream = new SocketUpstream((socket, request, call) -> {
                     SocketUpstream.send(
                             socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n3\r\ntwo\r\n");
@@ -170,18 +174,18 @@
     }
 
     /**
-     * An entry stops reading while an engine streams far more than the sockets hold. The agent must stop reading the
-     * engine instead of gathering the stream; another entry's answers go on. Then the slow entry reads on and gets every
-     * piece in order.
+     * An entry stops reading while an engine streams far more than the socket buffers hold. The agent must stop reading
+     * from the engine instead of buffering the stream, and must still serve other entries. When the slow entry reads
+     * again, it gets every chunk in order.
      */
     @Test
-    void slowEntryHoldsTheUpstreamBackAndNobodyElse() throws Exception {
+    void slowEntryPausesOnlyItsOwnUpstreamCall() throws Exception {
         AtomicInteger written = new AtomicInteger();
         int piece = 64 << 10;
         int pieces = 640;
         try (SocketUpstream upstream = new SocketUpstream((socket, request, call) -> {
                     if (!request.get("idempotency-key").equals("stream")) {
-                        SocketUpstream.send(socket, SocketUpstream.whole("x".repeat(1 << 20)));
+                        SocketUpstream.send(socket, SocketUpstream.response("x".repeat(1 << 20)));
                         return;
                     }
                     OutputStream out = socket.getOutputStream();
@@ -200,7 +204,7 @@
                 other.send(other.order("b" + i, true));
                 assertThat(other.outcome("b" + i).body()).hasSize(1 << 20);
             }
-            // The loopback sockets hold up to half of it, the agent what is below its high-water mark.
+            // The loopback socket buffers hold up to half of it, the agent what is below its high-water mark.
             assertThat(written.get()).as("pieces the engine got rid of").isLessThan(pieces);
 
             slow.read(true);
@@ -222,20 +226,20 @@
     }
 
     /**
-     * SIGTERM comes while an install runs and its entry is gone. New work is refused at once and for good, the install
-     * ends, and the agent stays until another entry has fetched and acknowledged the answer.
+     * SIGTERM arrives while an install runs and its entry is gone. New work is refused at once and permanently, the
+     * install ends, and the agent runs until another entry has fetched and acknowledged the outcome.
      */
     @Test
-    void drainingAgentStaysUntilItsAnswerIsFetched() throws Exception {
+    void drainingAgentRunsUntilItsOutcomeIsAcknowledged() throws Exception {
         try (SocketUpstream upstream = gated();
                 AgentFixture agent = new AgentFixture(upstream)) {
-            AgentFixture.Entry dying = agent.entry();
+            AgentFixture.Entry lost = agent.entry();
             AgentFixture.Entry other = agent.entry();
             StampedOrderMessage late = other.order("b", false);
-            dying.send(dying.order("a", false));
+            lost.send(lost.order("a", false));
             arrived.acquire();
-            dying.disconnect();
-            CountDownLatch left = agent.drain();
+            lost.disconnect();
+            CountDownLatch drained = agent.drain();
             other.awaitReport(true);
             other.send(late);
             assertThat(other.outcome("b").verdict()).isEqualTo(new NotRunVerdict("draining"));
@@ -243,30 +247,30 @@
 
             other.query("a", 7);
             assertThat(other.outcome("a").body()).asString().isEqualTo("done");
-            assertThat(left.getCount())
+            assertThat(drained.getCount())
                     .as("still there for the acknowledgement")
                     .isEqualTo(1);
             other.send(new OutcomeAckMessage("a"));
-            assertThat(left.await(20, TimeUnit.SECONDS)).isTrue();
+            assertThat(drained.await(20, TimeUnit.SECONDS)).isTrue();
             assertThat(upstream.ledger().count("b")).isZero();
         }
     }
 
-    /** Nobody ever fetches the answer: the stopping agent waits for its bounded time and leaves. */
+    /** No entry ever fetches the outcome: the draining agent waits for its drain time and stops. */
     @Test
-    void drainingAgentLeavesInTheEnd() throws Exception {
+    void drainingAgentStopsAfterItsDrainTime() throws Exception {
         try (SocketUpstream upstream = gated();
-                AgentFixture agent = new AgentFixture(upstream, 7, tight(Duration.ofMillis(50)), "")) {
+                AgentFixture agent = new AgentFixture(upstream, 7, smallLimits(Duration.ofMillis(50)), "")) {
             AgentFixture.Entry entry = agent.entry();
             entry.send(entry.order("a", false));
             arrived.acquire();
-            CountDownLatch left = agent.drain();
+            CountDownLatch drained = agent.drain();
             entry.awaitReport(true);
-            assertThat(left.getCount()).as("work in progress").isEqualTo(1);
+            assertThat(drained.getCount()).as("work in progress").isEqualTo(1);
             gate.release();
 
             assertThat(entry.outcome("a").body()).asString().isEqualTo("done");
-            assertThat(left.await(20, TimeUnit.SECONDS)).isTrue();
+            assertThat(drained.await(20, TimeUnit.SECONDS)).isTrue();
         }
     }
 
@@ -285,11 +289,14 @@
         }
     }
 
-    /** The agent is full: work beyond the queue is refused for good, also when the same order comes again with room. */
+    /**
+     * The agent is full: work beyond the queue is refused permanently, even if the same order arrives again when there
+     * is room.
+     */
     @Test
-    void workBeyondTheQueueIsRefusedForGood() throws Exception {
+    void workBeyondTheQueueIsRefusedPermanently() throws Exception {
         try (SocketUpstream upstream = gated();
-                AgentFixture agent = new AgentFixture(upstream, 7, tight(Duration.ZERO), "")) {
+                AgentFixture agent = new AgentFixture(upstream, 7, smallLimits(Duration.ZERO), "")) {
             AgentFixture.Entry entry = agent.entry();
             StampedOrderMessage refused = entry.order("b", false);
             entry.send(entry.order("a", false));
@@ -306,8 +313,8 @@
     }
 
     /**
-     * The upstream says by its health answer that it is leaving: the agent refuses new work before control or any entry
-     * could know, and takes work again when the upstream is back.
+     * The health check of the upstream reports that it is leaving: the agent refuses new work before control or any
+     * entry could know, and accepts work again when the upstream is back.
      */
     @Test
     void leavingUpstreamGetsNoNewWork() throws Exception {
@@ -318,7 +325,7 @@
                             socket,
                             health && leaving.get()
                                     ? "HTTP/1.1 503 Leaving\r\nContent-Length: 0\r\n\r\n"
-                                    : SocketUpstream.whole("done"));
+                                    : SocketUpstream.response("done"));
                 });
                 AgentFixture agent = new AgentFixture(upstream, 7, AgentFixture.LIMITS, "/health")) {
             AgentFixture.Entry entry = agent.entry();
@@ -335,9 +342,9 @@
         }
     }
 
-    /** An upstream that can't be reached ran nothing, and after a few failures gets no more orders. */
+    /** An unreachable upstream ran nothing, and after a few failures it gets no more orders. */
     @Test
-    void deadUpstreamIsAnnounced() throws Exception {
+    void unreachableUpstreamIsAnnounced() throws Exception {
         try (SocketUpstream upstream = gated();
                 AgentFixture agent = new AgentFixture(upstream)) {
             AgentFixture.Entry entry = agent.entry();
@@ -350,9 +357,9 @@
         }
     }
 
-    /** Only statuses that the settings name as refusals prove that nothing ran; any other answer says that it ran. */
+    /** Only statuses configured as refusals prove that nothing ran; any other response means that the call ran. */
     @Test
-    void statusOfTheUpstreamProvesARefusalOnlyWhereSettingsSaySo() throws Exception {
+    void onlyConfiguredStatusesProveARefusal() throws Exception {
         try (SocketUpstream upstream = new SocketUpstream((socket, request, call) -> SocketUpstream.send(
                         socket, "HTTP/1.1 " + request.get("idempotency-key") + " Busy\r\nContent-Length: 0\r\n\r\n"));
                 AgentFixture agent = new AgentFixture(upstream)) {
@@ -367,8 +374,8 @@
     }
 
     /**
-     * The decision ring is full when an answer arrives. The network thread must not wait for it: it goes on serving the
-     * upstream's connections, and hands the answer over when there is room.
+     * The decision ring is full when a response arrives. The network thread must not block on it: it continues to serve
+     * the upstream's connections, and hands the response over when there is room.
      */
     @Test
     void fullRingDoesNotStopTheNetworkThread() throws Exception {
@@ -376,9 +383,9 @@
         try (SocketUpstream upstream = new SocketUpstream((socket, request, call) -> {
                     arrived.release();
                     gate.acquireUninterruptibly();
-                    String answer = SocketUpstream.whole(request.get("idempotency-key"));
+                    String answer = SocketUpstream.response(request.get("idempotency-key"));
                     SocketUpstream.send(socket, answer.replace("OK\r\n", "OK\r\nConnection: close\r\n"));
-                    // The client closes this connection after the whole answer only if its thread is not stuck.
+                    // The client closes this connection after the whole response only if its thread is not blocked.
                     served.release(socket.getInputStream().read() < 0 ? 1 : 0);
                 });
                 AgentFixture agent = new AgentFixture(upstream)) {
@@ -388,14 +395,14 @@
                 entry.send(entry.order(id, false, false, Duration.ofSeconds(60)));
             }
             arrived.acquire(ids.length);
-            CountDownLatch held = new CountDownLatch(1);
-            agent.ring().execute(() -> awaitUninterruptibly(held));
+            CountDownLatch ringBlock = new CountDownLatch(1);
+            agent.ring().execute(() -> awaitUninterruptibly(ringBlock));
             while (agent.ring().offer(() -> {})) {
                 Thread.onSpinWait();
             }
             gate.release(ids.length);
             boolean all = served.tryAcquire(ids.length, 20, TimeUnit.SECONDS);
-            held.countDown();
+            ringBlock.countDown();
 
             assertThat(all).as("network thread served all connections").isTrue();
             for (String id : ids) {
@@ -404,7 +411,7 @@
         }
     }
 
-    private static AgentLimits tight(Duration drainWait) {
+    private static AgentLimits smallLimits(Duration drainWait) {
         return new AgentLimits(
                 1,
                 0,
@@ -426,8 +433,10 @@
         }
     }
 
-    /** Waits for an answer that the agent gives only after it has taken everything sent before on this connection. */
-    private static void awaitReportBehind(AgentFixture.Entry entry) throws InterruptedException {
+    /**
+     * Waits for a response that the agent sends only after it has processed everything sent before on this connection.
+     */
+    private static void awaitProcessed(AgentFixture.Entry entry) throws InterruptedException {
         entry.query("unknown", 0);
         entry.outcome("unknown");
     }
--- a/library/src/test/java/org/copperspindle/agent/AgentFixture.java
+++ b/library/src/test/java/org/copperspindle/agent/AgentFixture.java
@@ -20,7 +20,7 @@
 import org.copperspindle.wire.WireMessage;
 import org.copperspindle.wire.WireTransport;
 
-/** One agent beside one upstream, and entries that are only connections. */
+/** One agent with one upstream, and entries that are only connections. */
 final class AgentFixture implements AutoCloseable {
 
     static final AgentLimits LIMITS = new AgentLimits(
@@ -36,10 +36,10 @@
             Duration.ofSeconds(30));
     private static final InetSocketAddress ANY = new InetSocketAddress("127.0.0.1", 0);
 
-    /** Where nothing listens: these tests need no control. */
-    private static final InetSocketAddress NOWHERE = new InetSocketAddress("127.0.0.1", 1);
+    /** An address at which nothing listens: these tests need no control. */
+    private static final InetSocketAddress NO_CONTROL = new InetSocketAddress("127.0.0.1", 1);
 
-    private static final long WAIT_SECONDS = 20;
+    private static final long TIMEOUT_SECONDS = 20;
 
     private final long incarnation;
     private final DecisionRing ring;
@@ -66,7 +66,7 @@
                 Duration.ofMillis(50),
                 Set.of(429),
                 limits);
-        service = new AgentService(ring, timers, transport, settings, List.of(NOWHERE), ANY, incarnation);
+        service = new AgentService(ring, timers, transport, settings, List.of(NO_CONTROL), ANY, incarnation);
         address = (InetSocketAddress) transport.listen(ANY, service).localAddress();
         ring.execute(service::start);
     }
@@ -75,7 +75,7 @@
         this(upstream, 7, LIMITS, "");
     }
 
-    /** Connects an entry and waits until the agent tells it that it takes work. */
+    /** Connects an entry and waits until the agent reports that it accepts work. */
     Entry entry() throws InterruptedException {
         Entry entry = new Entry();
         entries.add(entry);
@@ -109,7 +109,7 @@
                 1, MessageCatalog.registry(), new GreetingMessage(GreetingMessage.PROTOCOL, "process", id, 1));
     }
 
-    /** The agent's side of one entry: a connection, and what came on it. */
+    /** One entry as the agent sees it: a connection, and the messages received on it. */
     final class Entry implements PeerListener {
         private final WireTransport transport = transport("entry");
         private final List<WireMessage> received = new ArrayList<>();
@@ -121,7 +121,7 @@
             return order(id, repeatable, false, Duration.ofSeconds(60));
         }
 
-        /** Makes an order; it is sent when the test says so, as often as it says. */
+        /** Creates a stamped order without sending it. */
         StampedOrderMessage order(String id, boolean repeatable, boolean streaming, Duration timeLeft) {
             AttemptOrderMessage order = new AttemptOrderMessage(
                     id,
@@ -143,8 +143,8 @@
             peer.send(message);
         }
 
-        void query(String id, long life) {
-            send(new OutcomeQueryMessage(id, life, clock.readingMicros(), true));
+        void query(String id, long agentIncarnation) {
+            send(new OutcomeQueryMessage(id, agentIncarnation, clock.readingMicros(), true));
         }
 
         AttemptOutcomeMessage outcome(String id) throws InterruptedException {
@@ -152,7 +152,7 @@
                     && outcome.attemptId().equals(id));
         }
 
-        /** Waits for the report of a change, taking those before it. */
+        /** Waits for a report with the given state, discarding reports before it. */
         void awaitReport(boolean refusing) throws InterruptedException {
             LoadReportMessage report;
             do {
@@ -161,9 +161,9 @@
             clock = AgentClock.of(report, timers.nanoTime());
         }
 
-        /** Waits for the first message of a kind; others stay for later. */
+        /** Waits for the first message that matches and removes it; others stay queued. */
         synchronized WireMessage take(Predicate<WireMessage> kind) throws InterruptedException {
-            long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_SECONDS);
+            long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
             while (System.nanoTime() < end) {
                 for (WireMessage message : received) {
                     if (kind.test(message)) {
@@ -173,10 +173,10 @@
                 }
                 wait(100);
             }
-            throw new AssertionError("no such message within " + WAIT_SECONDS + " s");
+            throw new AssertionError("no such message within " + TIMEOUT_SECONDS + " s");
         }
 
-        /** Stops or goes on reading from the connection. */
+        /** Pauses or resumes reading from the connection. */
         void read(boolean on) {
             channel.config().setAutoRead(on);
         }
