--- a/library/src/test/java/org/copperspindle/agent/AttemptTableScheduleTest.java
+++ b/library/src/test/java/org/copperspindle/agent/AttemptTableScheduleTest.java
@@ -22,9 +22,10 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Random schedules over the attempt table with a ledger of its own. Orders, queries, cancels and acknowledgements are
- * delayed, doubled and reordered without bound; the agent restarts, stands still and drains; the table is far too small.
- * Whatever happens, callers see no attempt run twice, none run that was ever reported NOT_RUN, and no foreign answer.
+ * Random schedules over the attempt table with an independent record of executions. Orders, queries, cancellations and
+ * acknowledgements are delayed, duplicated and reordered without bound; the agent restarts, pauses and drains; the
+ * table is far too small. No attempt may run twice or run after it was reported NOT_RUN, and no response may belong to
+ * another attempt.
  */
 class AttemptTableScheduleTest {
 
@@ -34,24 +35,24 @@
     private static final long MAX_DEADLINE = 10_000 * MILLI;
     private static final int KEPT_BYTES = 400;
     private static final int MAX_BODY = 100;
-    private static final Duration KEEP = Duration.ofSeconds(20);
-    private static final Duration LINGER = Duration.ofSeconds(2);
+    private static final Duration RETENTION = Duration.ofSeconds(20);
+    private static final Duration ABORT_GRACE = Duration.ofSeconds(2);
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
-    void noScheduleBreaksAPromise(long seed) {
+    void guaranteesHoldForEverySchedule(long seed) {
         SplittableRandom seeds = new SplittableRandom(seed);
         int checked = 0;
         for (int i = 0; i < SCHEDULES; i++) {
-            World world = new World(seeds.split());
-            world.run();
-            checked += world.verdicts;
+            Simulation simulation = new Simulation(seeds.split());
+            simulation.run();
+            checked += simulation.verdicts;
         }
         assertThat(checked).isGreaterThan(SCHEDULES * STEPS / 10);
     }
 
-    /** Entries, network, upstream and ledger around one table. */
-    private static final class World {
+    /** Entries, network, upstream and recorded executions around one table. */
+    private static final class Simulation {
         private final SplittableRandom random;
         private final AgentLimits limits;
         private final List<Peer> entries = List.of(new RecordingPeer(), new RecordingPeer(), new RecordingPeer());
@@ -64,13 +65,13 @@
         private final Map<String, Long> expires = new HashMap<>();
         private final Map<String, Long> endedAt = new HashMap<>();
         private final Map<String, Set<Peer>> unanswered = new HashMap<>();
-        private long life = 1;
-        private long world = MILLI;
-        private long stalled;
+        private long incarnation = 1;
+        private long now = MILLI;
+        private long pausedMicros;
         private AttemptTable table;
         private int verdicts;
 
-        private World(SplittableRandom random) {
+        private Simulation(SplittableRandom random) {
             this.random = random;
             this.limits = new AgentLimits(
                     2,
@@ -80,10 +81,10 @@
                     MAX_BODY,
                     Duration.ofSeconds(10),
                     Duration.ofSeconds(3),
-                    KEEP,
-                    LINGER,
+                    RETENTION,
+                    ABORT_GRACE,
                     Duration.ZERO);
-            this.table = new AttemptTable("up", life, limits);
+            this.table = new AttemptTable("up", incarnation, limits);
         }
 
         private void run() {
@@ -96,7 +97,7 @@
         }
 
         private void step() {
-            world += random.nextLong(60 * MILLI);
+            now += random.nextLong(60 * MILLI);
             int event = random.nextInt(16);
             if (event < 3) {
                 admit();
@@ -115,17 +116,17 @@
             } else if (event == 14) {
                 rare();
             } else {
-                world += random.nextLong(1000 * MILLI);
+                now += random.nextLong(1000 * MILLI);
             }
         }
 
-        /** An entry admits a request and dispatches it at some instant before its deadline, by its own clock. */
+        /** Admits a request at an entry and dispatches it at some time before its deadline, by the entry's clock. */
         private void admit() {
-            long deadline = world + random.nextLong(500 * MILLI, MAX_DEADLINE);
-            Request request = new Request("a" + requests.size(), life, clock(), deadline, random.nextInt(3) > 0);
+            long deadline = now + random.nextLong(500 * MILLI, MAX_DEADLINE);
+            Request request = new Request("a" + requests.size(), incarnation, clock(), deadline, random.nextInt(3) > 0);
             requests.add(request);
             if (random.nextInt(6) == 0) {
-                // Dispatched late: its order does not exist yet when others ask for it.
+                // Dispatched late: its order does not exist yet when others query it.
                 network.add(() -> dispatch(request));
             } else {
                 dispatch(request);
@@ -133,11 +134,11 @@
         }
 
         private void dispatch(Request request) {
-            if (world >= request.deadline() || request.life() != life) {
+            if (now >= request.deadline() || request.incarnation() != incarnation) {
                 return;
             }
             long reading = Math.max(1, clock() - random.nextLong(4000 * MILLI));
-            // The other VM's clock drifts by half of what is allowed, and did not stand still when the agent's did.
+            // The other VM's clock drifts by half of the allowed rate, and did not pause when the agent's did.
             double drift = 1 + (random.nextDouble() - 0.5) / 100;
             long estimate = reading + (long) ((clock() - reading) * drift);
             StampedOrderMessage order = new StampedOrderMessage(
@@ -145,7 +146,7 @@
                             request.id(),
                             "r",
                             "up",
-                            request.life(),
+                            request.incarnation(),
                             "/",
                             new byte[0],
                             false,
@@ -153,7 +154,7 @@
                             Priority.values()[random.nextInt(3)],
                             0,
                             1),
-                    estimate + request.deadline() - world + random.nextLong(2) * stalledLately(),
+                    estimate + request.deadline() - now + random.nextLong(2) * randomPause(),
                     reading);
             expires.put(request.id(), order.expiresAtMicros());
             Peer from = entry();
@@ -162,13 +163,13 @@
             }
         }
 
-        private long stalledLately() {
-            return stalled == 0 ? 0 : random.nextLong(stalled);
+        private long randomPause() {
+            return pausedMicros == 0 ? 0 : random.nextLong(pausedMicros);
         }
 
         private void deliver() {
             for (int i = 0; i < 3 && !network.isEmpty(); i++) {
-                // Mostly what was sent lately, now and then something that has been under way for long.
+                // Mostly recent messages, sometimes one that has been in transit for long.
                 int recent = random.nextInt(8) == 0 ? network.size() : Math.min(12, network.size());
                 network.remove(network.size() - 1 - random.nextInt(recent)).run();
             }
@@ -200,10 +201,10 @@
             }
             Request request = requests.get(random.nextInt(requests.size()));
             Peer from = entry();
-            boolean knowsLife = random.nextInt(5) > 0;
+            boolean knowsIncarnation = random.nextInt(5) > 0;
             OutcomeQueryMessage query = new OutcomeQueryMessage(
                     request.id(),
-                    knowsLife ? request.life() : 0,
+                    knowsIncarnation ? request.incarnation() : 0,
                     random.nextBoolean() ? request.reading() : 0,
                     !request.repeatable());
             network.add(() -> {
@@ -213,17 +214,22 @@
             });
         }
 
-        /** The answer of unrepeatable work must be there while nobody has acknowledged it and its time is not over. */
+        /**
+         * Checks that the response of unrepeatable work is kept while it is not acknowledged and its retention has not
+         * passed.
+         */
         private void checkKept(Request request) {
             Long ended = endedAt.get(request.id());
             boolean due = ended != null
-                    && request.life() == life
+                    && request.incarnation() == incarnation
                     && !request.repeatable()
                     && !acknowledged.contains(request.id())
-                    && clock() < ended + limits.keepMicros();
+                    && clock() < ended + limits.retentionMicros();
             if (due) {
                 List<AgentAction> again = table.onQuery(
-                        new OutcomeQueryMessage(request.id(), life, request.reading(), true), entries.get(0), clock());
+                        new OutcomeQueryMessage(request.id(), incarnation, request.reading(), true),
+                        entries.get(0),
+                        clock());
                 AttemptOutcomeMessage kept = ((AgentAction.Send) again.get(0)).outcome();
                 assertThat(kept.body()).as(request.id()).isEqualTo(body(request.id()));
                 assertThat(kept.complete()).isTrue();
@@ -258,27 +264,27 @@
             if (event == 0) {
                 restart();
             } else if (event == 1) {
-                standStill(random.nextLong(5000 * MILLI));
+                pauseAgent(random.nextLong(5000 * MILLI));
             } else if (event == 2) {
                 perform(table.onConfiguration(1 + random.nextInt(3), MAX_DEADLINE, clock()));
             } else {
-                world += random.nextLong(15_000 * MILLI);
+                now += random.nextLong(15_000 * MILLI);
             }
         }
 
-        /** The agent's VM and its clock stand still while everything else goes on. */
-        private void standStill(long micros) {
-            world += micros;
-            stalled += micros;
+        /** Pauses the agent's VM and its clock while everything else continues. */
+        private void pauseAgent(long micros) {
+            now += micros;
+            pausedMicros += micros;
         }
 
         private void restart() {
-            life++;
-            table = new AttemptTable("up", life, limits);
+            incarnation++;
+            table = new AttemptTable("up", incarnation, limits);
             running.clear();
             endedAt.clear();
             unanswered.clear();
-            stalled = 0;
+            pausedMicros = 0;
         }
 
         private void perform(List<AgentAction> actions) {
@@ -318,7 +324,7 @@
         private void checkAbort(String id) {
             Request request = requests.get(Integer.parseInt(id.substring(1)));
             if (!request.repeatable()) {
-                assertThat(clock()).as("cut off").isGreaterThanOrEqualTo(expires.get(id) + limits.lingerMicros());
+                assertThat(clock()).as("cut off").isGreaterThanOrEqualTo(expires.get(id) + limits.abortGraceMicros());
             }
         }
 
@@ -329,7 +335,9 @@
             assertThat(table.running()).isEqualTo(running.size());
         }
 
-        /** Lets everything arrive and end: whoever asked has been answered, and nothing is remembered for ever. */
+        /**
+         * Delivers all messages and ends all calls: then every query has been answered, and no record is kept for ever.
+         */
         private void settle() {
             while (!network.isEmpty() || !running.isEmpty()) {
                 deliver();
@@ -338,7 +346,7 @@
             }
             unanswered.forEach(
                     (id, peers) -> assertThat(peers).as("asked for " + id).isEmpty());
-            world += 3_600_000 * MILLI;
+            now += 3_600_000 * MILLI;
             perform(table.onTick(clock()));
             assertThat(table.size()).isZero();
             assertThat(table.keptBytes()).isZero();
@@ -349,7 +357,7 @@
         }
 
         private long clock() {
-            return world - stalled;
+            return now - pausedMicros;
         }
 
         private static byte[] body(String id) {
@@ -357,5 +365,5 @@
         }
     }
 
-    private record Request(String id, long life, long reading, long deadline, boolean repeatable) {}
+    private record Request(String id, long incarnation, long reading, long deadline, boolean repeatable) {}
 }
--- a/library/src/test/java/org/copperspindle/agent/AttemptTableTest.java
+++ b/library/src/test/java/org/copperspindle/agent/AttemptTableTest.java
@@ -17,10 +17,10 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** The decisions of one life of an agent, event by event. Times are seconds of its clock. */
+/** Tests the decisions of one incarnation of an agent, event by event. Times are seconds of its clock. */
 class AttemptTableTest {
 
-    private static final long LIFE = 7;
+    private static final long INCARNATION = 7;
     private static final long SECOND = 1_000_000;
     private static final AgentLimits LIMITS = new AgentLimits(
             1,
@@ -34,18 +34,19 @@
             Duration.ofSeconds(3),
             Duration.ZERO);
 
-    private final AttemptTable table = new AttemptTable("gallery-1", LIFE, LIMITS);
+    private final AttemptTable table = new AttemptTable("gallery-1", INCARNATION, LIMITS);
     private final Peer first = new RecordingPeer();
     private final Peer second = new RecordingPeer();
     private List<AgentAction> last = List.of();
 
     /**
-     * An entry orders an install, dies, and its order lies in a socket. Another entry asks for the attempt and is told
-     * NOT_RUN, so the install is dispatched elsewhere. Then the order arrives: it must be refused, or the watch gets two.
+     * An entry orders an install and crashes while its order is delayed in a socket buffer. Another entry queries the
+     * attempt and gets NOT_RUN, so the install is dispatched elsewhere. Then the order arrives: it must be refused, or
+     * the install runs twice.
      */
     @Test
     void delayedOrderIsRefusedAfterItsAttemptWasReportedNotRun() {
-        query("a", LIFE, 1, 2);
+        query("a", INCARNATION, 1, 2);
         assertThat(verdict()).isEqualTo(new NotRunVerdict("never-arrived"));
 
         order("a", false, 1, 9, 4);
@@ -55,12 +56,12 @@
     }
 
     /**
-     * The same, but so late that the agent has forgotten the refusal: the order names an end in the agent's clock that
-     * has passed, or a reading that is too old.
+     * Like the test above, but the order arrives after the agent has forgotten the refusal: the deadline on the order
+     * has passed by the agent's clock, or its clock reading is too old.
      */
     @Test
     void orderIsRefusedByItsStampOnceTheRefusalIsForgotten() {
-        query("a", LIFE, 1, 2);
+        query("a", INCARNATION, 1, 2);
         tick(3600);
         assertThat(table.size()).isZero();
 
@@ -71,12 +72,13 @@
     }
 
     /**
-     * An order is stamped at the end of its request's deadline, after its attempt was reported NOT_RUN, and names an end
-     * too far away because the agent's VM had stood still. Its refusal must be remembered for the age of a reading more.
+     * An order is stamped at the end of its request's deadline, after its attempt was reported NOT_RUN, and its stamped
+     * deadline is too late because the agent's VM had been paused. Its refusal must be remembered longer, by the
+     * greatest age of a clock reading.
      */
     @Test
-    void refusalOutlivesAnOrderStampedWhileTheAgentStoodStill() {
-        query("a", LIFE, 1, 2);
+    void refusalIsKeptForAnOrderStampedWhileTheAgentWasPaused() {
+        query("a", INCARNATION, 1, 2);
         tick(14);
 
         order("a", false, 12, 22, 14);
@@ -85,19 +87,21 @@
     }
 
     @Test
-    void entrySendsNoOrderAfterItsDeadlineOrToAnotherLife() {
-        AgentClock clock = AgentClock.of(new LoadReportMessage("gallery-1", 1, 0, -1, LIFE, 50, 0, -1, false), 1000);
+    void entrySendsNoOrderAfterItsDeadlineOrToAnotherIncarnation() {
+        AgentClock clock =
+                AgentClock.of(new LoadReportMessage("gallery-1", 1, 0, -1, INCARNATION, 50, 0, -1, false), 1000);
         AttemptOrderMessage order = new AttemptOrderMessage(
-                "a", "r", "gallery-1", LIFE, "/", new byte[0], false, false, Priority.BATCH, 10, 1);
+                "a", "r", "gallery-1", INCARNATION, "/", new byte[0], false, false, Priority.BATCH, 10, 1);
 
         assertThat(clock.stamp(order, 5000, 14_000)).hasValue(new StampedOrderMessage(order, 64, 50));
         assertThat(clock.stamp(order, 5000, 15_000)).isEmpty();
-        AgentClock other = AgentClock.of(new LoadReportMessage("gallery-1", 1, 0, -1, LIFE + 1, 50, 0, -1, false), 0);
+        AgentClock other =
+                AgentClock.of(new LoadReportMessage("gallery-1", 1, 0, -1, INCARNATION + 1, 50, 0, -1, false), 0);
         assertThat(other.stamp(order, 5000, 6000)).isEmpty();
     }
 
     @Test
-    void doubledOrderRunsNothingAndGetsTheOutcome() {
+    void duplicateOrderRunsNothingAndGetsTheOutcome() {
         order("a", false, 1, 9, 2);
         order("a", false, 1, 9, 3, second);
         assertThat(last).isEmpty();
@@ -110,25 +114,25 @@
     }
 
     /**
-     * An entry dies while an install runs; the caller resends it through another entry, which asks the agent. The
-     * answer must come when the install ends, on the connection that asked.
+     * An entry crashes while an install runs; the caller resends it through another entry, which queries the agent. The
+     * outcome must be sent on the querying connection when the install ends.
      */
     @Test
-    void askerOfARunningAttemptGetsItsOutcome() {
+    void queryOfARunningAttemptGetsItsOutcome() {
         order("a", false, 1, 9, 2);
-        query("a", LIFE, 1, 3);
+        query("a", INCARNATION, 1, 3);
         assertThat(last).isEmpty();
 
         end("a", "done", 4);
 
-        AgentAction.Send toAsker = (AgentAction.Send) last.get(1);
-        assertThat(toAsker.to()).isSameAs(second);
-        assertThat(bodyOf(toAsker)).isEqualTo("done");
+        AgentAction.Send toQuerying = (AgentAction.Send) last.get(1);
+        assertThat(toQuerying.to()).isSameAs(second);
+        assertThat(bodyOf(toQuerying)).isEqualTo("done");
     }
 
     /**
-     * An install ran; its record went after the time that outcomes are kept. A late resend asks for it. The agent knows
-     * nothing of it any more and must not say NOT_RUN, or it would run again.
+     * An install ran, and its record was removed after the retention of outcomes. A late resend queries it. The agent
+     * has no record of it any more and must not report NOT_RUN, or it would run again.
      */
     @Test
     void forgottenAttemptIsNotReportedNotRun() {
@@ -137,17 +141,20 @@
         tick(100);
         assertThat(table.size()).isZero();
 
-        query("a", LIFE, 1, 101);
+        query("a", INCARNATION, 1, 101);
         assertThat(verdict()).isEqualTo(new MayHaveRunVerdict("outcome-forgotten"));
 
-        query("b", LIFE, 50, 101);
+        query("b", INCARNATION, 50, 101);
         assertThat(verdict()).isEqualTo(new NotRunVerdict("never-arrived"));
     }
 
-    /** A restarted agent knows nothing of its former life, and a query without a life proves nothing. */
+    /**
+     * A restarted agent has no records of its former incarnation, and a query without an incarnation never gets
+     * NOT_RUN.
+     */
     @ParameterizedTest
-    @ValueSource(longs = {0, LIFE - 1, LIFE + 1})
-    void attemptsOfAnotherLifeMayHaveRun(long incarnation) {
+    @ValueSource(longs = {0, INCARNATION - 1, INCARNATION + 1})
+    void attemptsOfAnotherIncarnationMayHaveRun(long incarnation) {
         query("a", incarnation, 1, 2);
 
         assertThat(verdict()).isInstanceOf(MayHaveRunVerdict.class);
@@ -155,12 +162,12 @@
     }
 
     /**
-     * The table is full of running and refused attempts when a further order is refused, without a place to record it.
-     * Places come free, then a copy of the refused order arrives in time: it must still be refused.
+     * The table is full of running and refused attempts when another order is refused, without space to record the
+     * refusal. Space becomes free, then a copy of the refused order arrives in time: it must still be refused.
      */
     @Test
-    void refusalWithoutAPlaceBindsTheFuture() {
-        AgentLimits tight = new AgentLimits(
+    void refusalWithoutARecordStillHolds() {
+        AgentLimits smallLimits = new AgentLimits(
                 8,
                 2,
                 2,
@@ -171,7 +178,7 @@
                 LIMITS.keep(),
                 LIMITS.linger(),
                 LIMITS.keep());
-        AttemptTable full = new AttemptTable("gallery-1", LIFE, tight);
+        AttemptTable full = new AttemptTable("gallery-1", INCARNATION, smallLimits);
         full.onOrder(stamped("a", true, Priority.STANDARD, 1, 9), first, 2 * SECOND);
         full.onOrder(stamped("b", true, Priority.STANDARD, 1, 9), first, 2 * SECOND);
         last = full.onOrder(stamped("c", true, Priority.STANDARD, 1, 5), first, 2 * SECOND);
@@ -184,7 +191,7 @@
         assertThat(last.get(0)).isInstanceOf(AgentAction.Start.class);
     }
 
-    /** Room for answers is full of installs that nobody has acknowledged: new ones are refused, none is dropped. */
+    /** The space for responses is full of unacknowledged installs: new ones are refused, and none is dropped. */
     @Test
     void unacknowledgedOutcomesAreNeverDroppedForNewWork() {
         for (String id : List.of("a", "b", "c")) {
@@ -193,13 +200,13 @@
         }
         order("d", false, 1, 9, 3);
         assertThat(verdict()).isEqualTo(new NotRunVerdict("outcomes-full"));
-        query("a", LIFE, 1, 3);
+        query("a", INCARNATION, 1, 3);
         assertThat(bodyOf(last.get(0))).hasSize(100);
 
         table.onAcknowledge("a");
         order("e", false, 1, 9, 4);
         assertThat(last.get(0)).isInstanceOf(AgentAction.Start.class);
-        query("a", LIFE, 1, 4);
+        query("a", INCARNATION, 1, 4);
         assertThat(verdict()).isEqualTo(new RanVerdict("outcome-dropped"));
     }
 
@@ -209,13 +216,13 @@
         end("a", "done", 3);
         table.onAcknowledge("a");
 
-        query("a", LIFE, 1, 30);
+        query("a", INCARNATION, 1, 30);
 
         assertThat(bodyOf(last.get(0))).isEqualTo("done");
     }
 
     @Test
-    void waitingAttemptGivesWayToAHigherPriority() {
+    void waitingAttemptIsDisplacedByAHigherPriority() {
         order("running", true, 1, 9, 2);
         order("old", true, Priority.BATCH);
         order("young", true, Priority.BATCH);
@@ -245,12 +252,12 @@
     }
 
     @Test
-    void deadlineCutsRepeatableWorkAtOnceAndListensToOtherWork() {
+    void deadlineAbortsRepeatableWorkAtOnceAndOtherWorkAfterTheGrace() {
         order("a", false, 1, 4, 2);
         tick(4);
         assertThat(last).isEmpty();
         end("a", "late", 5);
-        query("a", LIFE, 1, 6);
+        query("a", INCARNATION, 1, 6);
         assertThat(bodyOf(last.get(0))).isEqualTo("late");
 
         order("b", true, 6, 8, 6);
@@ -280,9 +287,9 @@
     }
 
     @Test
-    void pieceByPieceAnswerIsNotSentTwiceToWhoHasItsPieces() {
+    void streamedBodyIsNotSentAgainToTheConnectionThatHasItsChunks() {
         order("a", true, 1, 9, 2);
-        query("a", LIFE, 1, 2);
+        query("a", INCARNATION, 1, 2);
 
         last = table.onEnded(outcome("a", "whole"), true, 3 * SECOND);
 
@@ -342,7 +349,7 @@
 
     static StampedOrderMessage stamped(String id, boolean repeatable, Priority priority, long clock, long expires) {
         AttemptOrderMessage order = new AttemptOrderMessage(
-                id, "r", "gallery-1", LIFE, "/install", new byte[1], false, repeatable, priority, 0, 1);
+                id, "r", "gallery-1", INCARNATION, "/install", new byte[1], false, repeatable, priority, 0, 1);
         return new StampedOrderMessage(order, expires * SECOND, clock * SECOND);
     }
 }
--- a/library/src/test/java/org/copperspindle/agent/RecordingPeer.java
+++ b/library/src/test/java/org/copperspindle/agent/RecordingPeer.java
@@ -7,7 +7,7 @@
 import org.copperspindle.wire.Peer;
 import org.copperspindle.wire.WireMessage;
 
-/** A connection that keeps what is sent on it. */
+/** A connection that records the messages sent on it. */
 final class RecordingPeer implements Peer {
 
     private final List<WireMessage> sent = new ArrayList<>();
--- a/library/src/test/java/org/copperspindle/agent/SimulatedAgent.java
+++ b/library/src/test/java/org/copperspindle/agent/SimulatedAgent.java
@@ -13,10 +13,10 @@
 import org.copperspindle.wire.Peer;
 import org.copperspindle.wire.WireMessage;
 
-/** One life of an agent: the real table of attempts in front of a simulated upstream. */
+/** One incarnation of an agent: the real attempt table in front of a simulated upstream. */
 public final class SimulatedAgent {
 
-    // So small that outcomes are forgotten during a schedule.
+    // Small enough that outcomes are forgotten during a schedule.
     private static final AgentLimits FORGETFUL = new AgentLimits(
             32,
             64,
@@ -33,9 +33,9 @@
     private final SimulatedUpstream upstream;
     private final long incarnation;
     private final AttemptTable table;
-    private final long bornAt;
+    private final long startedAt;
     private final Map<String, AttemptOrderMessage> running = new HashMap<>();
-    private final Set<String> missedPieces = new HashSet<>();
+    private final Set<String> missedChunks = new HashSet<>();
     private boolean dead;
 
     public SimulatedAgent(
@@ -43,11 +43,11 @@
         this.timers = timers;
         this.upstream = upstream;
         this.incarnation = incarnation;
-        this.bornAt = timers.nanoTime();
+        this.startedAt = timers.nanoTime();
         this.table = new AttemptTable(upstreamId, incarnation, forgetful ? FORGETFUL : AgentLimits.DEFAULT);
     }
 
-    // Its table is gone; what the upstream has been sent goes on.
+    // The table is lost; calls already sent to the upstream continue.
     public void die() {
         dead = true;
     }
@@ -81,11 +81,11 @@
         } else if (message instanceof OutcomeAckMessage ack) {
             table.onAcknowledge(ack.attemptId());
         }
-        upstream.agentTookMessage(this);
+        upstream.onAgentProcessed(this);
     }
 
     private long clock() {
-        return (timers.nanoTime() - bornAt) / 1000 + 1;
+        return (timers.nanoTime() - startedAt) / 1000 + 1;
     }
 
     private void perform(List<AgentAction> actions) {
@@ -101,7 +101,7 @@
     private void perform(AgentAction action) {
         if (action instanceof AgentAction.Start start) {
             running.put(start.order().attemptId(), start.order());
-            upstream.call(start.order(), chunk -> pass(chunk, start.from()), this::end);
+            upstream.call(start.order(), chunk -> relay(chunk, start.from()), this::end);
         } else if (action instanceof AgentAction.Send send) {
             send.to().send(send.outcome());
         } else if (action instanceof AgentAction.Abort abort) {
@@ -109,9 +109,9 @@
         }
     }
 
-    private void pass(AttemptChunkMessage chunk, Peer to) {
+    private void relay(AttemptChunkMessage chunk, Peer to) {
         if (dead || !running.containsKey(chunk.attemptId()) || !to.send(chunk)) {
-            missedPieces.add(chunk.attemptId());
+            missedChunks.add(chunk.attemptId());
         }
     }
 
@@ -119,9 +119,9 @@
         if (dead || running.remove(outcome.attemptId()) == null) {
             return;
         }
-        boolean allPassedOn = outcome.chunks() > 0 && !missedPieces.remove(outcome.attemptId());
-        perform(table.onEnded(outcome, allPassedOn, clock()));
-        upstream.agentTookMessage(this);
+        boolean allRelayed = outcome.chunks() > 0 && !missedChunks.remove(outcome.attemptId());
+        perform(table.onEnded(outcome, allRelayed, clock()));
+        upstream.onAgentProcessed(this);
     }
 
     private static AttemptOutcomeMessage outcome(String attemptId) {
--- a/library/src/test/java/org/copperspindle/agent/SocketUpstream.java
+++ b/library/src/test/java/org/copperspindle/agent/SocketUpstream.java
@@ -18,7 +18,7 @@
 
 import org.copperspindle.emulator.ExecutionLedger;
 
-/** An upstream at the level of the socket, so that a test can break it at any byte. Counts each call by attempt. */
+/** An upstream at socket level, so that a test can break a response at any byte. Counts calls by attempt. */
 final class SocketUpstream implements AutoCloseable {
 
     private final ServerSocket server;
@@ -33,7 +33,7 @@
         thread(this::accept);
     }
 
-    static String whole(String body) {
+    static String response(String body) {
         return "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
@@ -43,7 +43,7 @@
         out.flush();
     }
 
-    /** Closes with a reset instead of an orderly end. */
+    /** Closes the connection with a reset. */
     static void reset(Socket socket) throws IOException {
         socket.setSoLinger(true, 0);
         socket.close();
@@ -61,12 +61,12 @@
         return connections.get();
     }
 
-    /** Returns the connections that were taken, those included that have sent nothing. */
+    /** Returns the number of accepted connections, including those on which nothing was sent. */
     int accepted() {
         return sockets.size();
     }
 
-    /** Fails as a process does: the port and all connections are gone. */
+    /** Fails like a crashed process: the port and all connections are closed. */
     void fail() throws IOException {
         close();
     }
@@ -136,7 +136,7 @@
                     try {
                         task.run();
                     } catch (IOException e) {
-                        // The other side ended the connection; what that means is for the test to check.
+                        // The peer closed the connection; the test checks the consequences.
                         Thread.currentThread().interrupt();
                     }
                 },
@@ -145,10 +145,10 @@
         thread.start();
     }
 
-    /** What to do with a call. */
+    /** Handles calls. */
     interface Script {
 
-        /** Answers one call; {@code call} counts the calls of this connection from 0. */
+        /** Responds to one call; {@code call} counts the calls of this connection from 0. */
         void answer(Socket socket, Map<String, String> request, int call) throws IOException;
     }
 
--- a/library/src/test/java/org/copperspindle/agent/UpstreamClientTest.java
+++ b/library/src/test/java/org/copperspindle/agent/UpstreamClientTest.java
@@ -10,14 +10,17 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** Answers of upstreams over real sockets: only what is provably whole and one's own counts. */
+/**
+ * Tests responses of upstreams over real sockets: only a response that is provably whole and belongs to the call is
+ * accepted.
+ */
 class UpstreamClientTest {
 
-    private static final String WHOLE = SocketUpstream.whole("one");
+    private static final String WHOLE = SocketUpstream.response("one");
 
     /**
-     * The upstream runs the call and then breaks its answer, each time in another way. A caller must never see the
-     * pieces as an answer, and must not be told that nothing ran.
+     * The upstream runs the call and then breaks its response, each time in another way. A partial response must never
+     * be returned, and the failure must not be reported as a call that was not sent.
      */
     @ParameterizedTest
     @CsvSource(
@@ -36,7 +39,7 @@
                 "only a provisional answer | HTTP/1.1 100 Continue~~",
                 "larger than allowed       | HTTP/1.1 200 OK~Content-Length: 17~~seventeen letters"
             })
-    void brokenAnswerIsNoAnswer(String fault, String bytes) throws Exception {
+    void brokenResponseIsNotReturned(String fault, String bytes) throws Exception {
         try (SocketUpstream upstream = new SocketUpstream((socket, request, call) -> {
                     SocketUpstream.send(socket, bytes.replace("~", "\r\n"));
                     socket.close();
@@ -47,15 +50,15 @@
         }
     }
 
-    /** A call on a new connection is never sent twice, not even a repeatable one: that is the entry's decision. */
+    /** A call on a new connection is never sent twice, not even a repeatable one: the entry decides on repeats. */
     @ParameterizedTest
     @CsvSource({"true", "false"})
-    void resetBetweenRequestAndAnswerMayHaveRun(boolean repeatable) throws Exception {
+    void callIsNotResentAfterAReset(boolean repeatable) throws Exception {
         try (SocketUpstream upstream = new SocketUpstream((socket, request, call) -> SocketUpstream.reset(socket));
                 UpstreamClient client = new UpstreamClient(upstream.address(), 4)) {
             assertThat(call(client, "a", repeatable)).startsWith("lost sent=true");
-            // One network thread connects in order and the upstream accepts in order: a resend of the first call, even
-            // one that is still to be read, has its connection here before the second call's.
+            // One network thread connects in order and the upstream accepts in order: if the first call were resent,
+            // its second connection would be accepted here before that of the second call, even if not read yet.
             assertThat(call(client, "b", repeatable)).startsWith("lost sent=true");
             assertThat(upstream.accepted()).isEqualTo(2);
             assertThat(upstream.ledger().count("a")).isEqualTo(1);
@@ -70,7 +73,7 @@
                 "HTTP/1.1 200 OK~Transfer-Encoding: chunked~~1~o~2~ne~0~~",
                 "HTTP/1.1 100 Continue~~HTTP/1.1 200 OK~Content-Length: 3~~one"
             })
-    void wholeAnswerIsTaken(String bytes) throws Exception {
+    void wholeResponseIsReturned(String bytes) throws Exception {
         try (SocketUpstream upstream = new SocketUpstream(
                         (socket, request, call) -> SocketUpstream.send(socket, bytes.replace("~", "\r\n")));
                 UpstreamClient client = new UpstreamClient(upstream.address(), 4)) {
@@ -79,13 +82,13 @@
     }
 
     /**
-     * The upstream sends its first answer twice on a connection that is kept. The second copy must not become the
-     * answer to the next call, which is another caller's.
+     * The upstream sends its first response twice on a kept connection. The second copy must not become the response to
+     * the next call, which is another caller's.
      */
     @Test
-    void doubledAnswerIsNotTakenForTheNext() throws Exception {
+    void duplicateResponseIsNotTakenForTheNextCall() throws Exception {
         try (SocketUpstream upstream = new SocketUpstream((socket, request, call) -> {
-                    String own = SocketUpstream.whole(request.get("idempotency-key"));
+                    String own = SocketUpstream.response(request.get("idempotency-key"));
                     SocketUpstream.send(socket, request.get("idempotency-key").equals("a") ? own + own : own);
                 });
                 UpstreamClient client = new UpstreamClient(upstream.address(), 4)) {
@@ -109,8 +112,8 @@
     }
 
     /**
-     * The upstream closes a kept connection just as the next call is written to it. A repeatable call goes out again on
-     * a new connection; an unrepeatable one never was on the kept one, so it runs once.
+     * The upstream closes a kept connection just as the next call is written to it. A repeatable call is sent again on
+     * a new connection; an unrepeatable one never uses a kept connection, so it runs once.
      */
     @ParameterizedTest
     @CsvSource({"true", "false"})
@@ -139,13 +142,13 @@
     }
 
     private static String call(UpstreamClient client, String id, boolean repeatable) throws InterruptedException {
-        Heard heard = new Heard();
-        client.call(new UpstreamCall("/", new byte[] {'{', '}'}, "r-" + id, id, repeatable, 16), heard);
-        return heard.ends.poll(20, TimeUnit.SECONDS);
+        RecordingListener listener = new RecordingListener();
+        client.call(new UpstreamCall("/", new byte[] {'{', '}'}, "r-" + id, id, repeatable, 16), listener);
+        return listener.ends.poll(20, TimeUnit.SECONDS);
     }
 
-    /** Keeps how the call ended. */
-    private static final class Heard implements UpstreamResponseListener {
+    /** Records how the call ended. */
+    private static final class RecordingListener implements UpstreamResponseListener {
         private final BlockingQueue<String> ends = new LinkedBlockingQueue<>();
         private final StringBuffer body = new StringBuffer();
 
@@ -160,7 +163,7 @@
         }
 
         @Override
-        public boolean wantsMore() {
+        public boolean acceptsMore() {
             return true;
         }
 
--- a/library/src/test/java/org/copperspindle/entry/AgentLinksTest.java
+++ b/library/src/test/java/org/copperspindle/entry/AgentLinksTest.java
@@ -24,10 +24,10 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** Connections to agents that misbehave, over real sockets. */
+/** Tests connections to agents that misbehave, over real sockets. */
 class AgentLinksTest {
 
-    private static final int GENEROUS_SECONDS = 30;
+    private static final int TIMEOUT_SECONDS = 30;
 
     private final BlockingQueue<WireMessage> notSent = new LinkedBlockingQueue<>();
     private final DecisionRing ring = new DecisionRing("test", 4096);
@@ -53,36 +53,37 @@
     }
 
     /**
-     * The agent's VM accepts the connection and dies before it greets. No byte of the order was sent, so it comes back at
-     * once with that proof and can go elsewhere; before, it waited until its request's deadline.
+     * The agent's VM accepts the connection and crashes before it sends its greeting. No byte of the order was sent, so
+     * the order must be reported as not sent at once and can go elsewhere, instead of waiting until its request's
+     * deadline.
      */
     @Test
-    void orderForAnAgentThatNeverGreetsComesBack() throws Exception {
+    void orderForAgentThatNeverGreetsIsReportedNotSent() throws Exception {
         ring.execute(() -> links.send(address, new OutcomeQueryMessage("a", 1)));
         Socket accepted = agent.accept();
         accepted.close();
 
-        assertThat(notSent.poll(GENEROUS_SECONDS, TimeUnit.SECONDS)).isEqualTo(new OutcomeQueryMessage("a", 1));
+        assertThat(notSent.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS)).isEqualTo(new OutcomeQueryMessage("a", 1));
     }
 
     /**
-     * An agent accepts and stays silent while a burst of orders is meant for it. What waits for it is bounded; the rest
-     * comes back at once. A cancelled order that still waits is withdrawn, never to be sent.
+     * An agent accepts the connection and stays silent while many orders are sent to it. The queue for it is bounded,
+     * and the excess is reported as not sent at once. A cancelled order that is still queued is removed and never sent.
      */
     @Test
-    void silentAgentHoldsABoundedNumberOfMessages() throws Exception {
+    void messagesQueuedForASilentAgentAreBounded() throws Exception {
         ring.execute(() -> {
             for (int i = 0; i < AgentLinks.MAX_WAITING + 1; i++) {
                 links.send(address, order("a" + i));
             }
             links.send(address, new AttemptCancelMessage("a0"));
         });
-        AttemptOrderMessage over = (AttemptOrderMessage) notSent.poll(GENEROUS_SECONDS, TimeUnit.SECONDS);
+        AttemptOrderMessage over = (AttemptOrderMessage) notSent.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         assertThat(over.attemptId()).isEqualTo("a" + AgentLinks.MAX_WAITING);
 
         agent.accept().close();
         for (int i = 1; i < AgentLinks.MAX_WAITING; i++) {
-            AttemptOrderMessage back = (AttemptOrderMessage) notSent.poll(GENEROUS_SECONDS, TimeUnit.SECONDS);
+            AttemptOrderMessage back = (AttemptOrderMessage) notSent.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
             assertThat(back.attemptId()).isEqualTo("a" + i);
         }
         assertThat(notSent).isEmpty();
--- a/library/src/test/java/org/copperspindle/entry/DeploymentViewTest.java
+++ b/library/src/test/java/org/copperspindle/entry/DeploymentViewTest.java
@@ -17,14 +17,14 @@
 
 class DeploymentViewTest {
 
-    private final Map<Long, Consumer<Optional<Deployment>>> reading = new LinkedHashMap<>();
-    private final List<Long> told = new ArrayList<>();
+    private final Map<Long, Consumer<Optional<Deployment>>> pending = new LinkedHashMap<>();
+    private final List<Long> reported = new ArrayList<>();
     private final DeploymentView view =
-            new DeploymentView((version, text, whenRead) -> reading.put(version, whenRead), this::tell);
+            new DeploymentView((version, text, whenRead) -> pending.put(version, whenRead), this::report);
 
     /**
-     * The text of version 2 is still being read when 3 arrives. Until a text is read, the version before it is reported
-     * and served; were 2 reported at once, the operator would hear "in force" from a member that serves version 1.
+     * The text of version 2 is still being parsed when version 3 arrives. Until a text is parsed, the previous version
+     * is reported and served; if 2 were reported at once, operators would see it in force at a member that serves 1.
      */
     @Test
     void versionIsReportedOnceItIsInForce() {
@@ -38,10 +38,10 @@
         read(2);
         assertThat(view.version()).isEqualTo(2);
         read(3);
-        assertThat(told).containsExactly(1L, 2L, 3L);
+        assertThat(reported).containsExactly(1L, 2L, 3L);
     }
 
-    /** The reader reports late or in the wrong order: what is in force must never go back, whatever the reader does. */
+    /** The reader delivers late or out of order: the version in force must never go back. */
     @ParameterizedTest
     @CsvSource({"3, 2", "3, 3"})
     void lowerVersionIsNeverPutInForce(long first, long later) {
@@ -54,30 +54,33 @@
 
         assertThat(view.version()).isEqualTo(first);
         assertThat(view.deployment()).isSameAs(before);
-        assertThat(told).containsExactly(first);
+        assertThat(reported).containsExactly(first);
     }
 
-    /** An update that repeats or precedes what is being read costs no second reading. */
+    /** An update with the version being parsed or a lower one is not parsed. */
     @Test
     void lowerVersionIsNotRead() {
         update(3);
-        reading.remove(3L);
+        pending.remove(3L);
         update(3);
         update(2);
 
-        assertThat(reading).isEmpty();
+        assertThat(pending).isEmpty();
     }
 
-    /** A version that this build can't read leaves the one before in force and unreported, so that the lease runs out. */
+    /**
+     * A version that this build can't parse leaves the previous one in force and is not reported, so that the lease
+     * runs out.
+     */
     @Test
     void unreadableVersionIsNotPutInForce() {
         update(1);
         read(1);
         update(2);
-        reading.get(2L).accept(Optional.empty());
+        pending.get(2L).accept(Optional.empty());
 
         assertThat(view.version()).isEqualTo(1);
-        assertThat(told).containsExactly(1L);
+        assertThat(reported).containsExactly(1L);
     }
 
     private void update(long version) {
@@ -86,7 +89,7 @@
 
     private void read(long version) {
         Deployment empty = Deployment.EMPTY;
-        reading.get(version)
+        pending.get(version)
                 .accept(Optional.of(new Deployment(
                         "v" + version,
                         empty.failureDomains(),
@@ -96,7 +99,7 @@
                         empty.pipelines())));
     }
 
-    private void tell() {
-        told.add(view.version());
+    private void report() {
+        reported.add(view.version());
     }
 }
--- a/library/src/test/java/org/copperspindle/entry/EntryServiceTest.java
+++ b/library/src/test/java/org/copperspindle/entry/EntryServiceTest.java
@@ -21,11 +21,12 @@
     private static final int SLOTS = 2;
 
     /**
-     * A caller leaves while the ring is full. The network thread goes on at once, and the note takes the first slot
-     * that becomes free: it used to be dropped, and the request ran on until its deadline for nobody.
+     * A caller disconnects while the ring is full. The network thread continues at once, and the event takes the first
+     * slot that becomes free. If it were dropped, the request would run until its deadline although nobody waits for
+     * it.
      */
     @Test
-    void leavingCallerIsNotedOnceTheRingHasRoom() throws Exception {
+    void disconnectIsRecordedOnceTheRingHasRoom() throws Exception {
         InetSocketAddress nowhere = new InetSocketAddress("127.0.0.1", 0);
         CountDownLatch firstRuns = new CountDownLatch(1);
         CountDownLatch secondRuns = new CountDownLatch(1);
@@ -52,7 +53,7 @@
 
             first.countDown();
             secondRuns.await();
-            // The second task holds one slot still; only the note can take the other.
+            // The second task still holds one slot; only the disconnect event can take the other.
             await(() -> ring.depth() == SLOTS);
             second.countDown();
             await(() -> ring.depth() == 0);
@@ -60,8 +61,8 @@
         }
     }
 
-    private static void runUntil(CountDownLatch begun, CountDownLatch end) {
-        begun.countDown();
+    private static void runUntil(CountDownLatch started, CountDownLatch end) {
+        started.countDown();
         try {
             end.await();
         } catch (InterruptedException e) {
--- a/library/src/test/java/org/copperspindle/entry/ExecutionBook.java
+++ b/library/src/test/java/org/copperspindle/entry/ExecutionRecorder.java
@@ -5,13 +5,13 @@
 import java.util.List;
 import java.util.Map;
 
-/** Counts every execution on a simulated upstream, apart from all of the system's own counting. */
-public final class ExecutionBook {
+/** Records every execution on a simulated upstream, independently of the code under test. */
+public final class ExecutionRecorder {
 
     private final Map<String, List<String>> attemptsByToken = new HashMap<>();
     private int total;
 
-    // Records one execution; returns its number, unique in the book.
+    // Records one execution; returns its number, unique in this recorder.
     public int ran(String token, String attemptId) {
         attemptsByToken.computeIfAbsent(token, t -> new ArrayList<>()).add(attemptId);
         return ++total;
--- a/library/src/test/java/org/copperspindle/entry/PromiseCheck.java
+++ b/library/src/test/java/org/copperspindle/entry/GuaranteeCheck.java
@@ -9,15 +9,15 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** Holds what callers were told against what the book of executions says. Counts each promise that it checked. */
-final class PromiseCheck {
+/** Checks the responses to callers against the recorded executions, and counts the checks by guarantee. */
+final class GuaranteeCheck {
 
     private static final long GRACE_NANOS = 1_000_000;
 
     private final SimulatedDeployment deployment;
     private final Map<String, Integer> checked = new TreeMap<>();
 
-    PromiseCheck(SimulatedDeployment deployment) {
+    GuaranteeCheck(SimulatedDeployment deployment) {
         this.deployment = deployment;
     }
 
@@ -44,7 +44,7 @@
                 .isLessThanOrEqualTo(caller.deadline() + GRACE_NANOS);
         if (caller.verdict().equals("NOT_RUN")) {
             count("NOT_RUN never ran");
-            assertThat(deployment.book().ranAttemptOf(caller.requestId()))
+            assertThat(deployment.executions().ranAttemptOf(caller.requestId()))
                     .as(caller.requestId() + " was told NOT_RUN")
                     .isFalse();
             checkKeyNeverRan(caller);
@@ -53,16 +53,16 @@
             checkSuccess(caller);
         } else if (!caller.text().isEmpty()) {
             count("broken stream is a beginning");
-            assertThat(SimulatedUpstream.story(caller.token())).startsWith(caller.text());
+            assertThat(SimulatedUpstream.fullText(caller.token())).startsWith(caller.text());
         }
     }
 
     /**
-     * A caller that is told NOT_RUN for its own key takes a new one. So no earlier arrival of that key may have run or
-     * run later, either. A conflict speaks only of the body that was refused, since the key belongs to another one.
+     * A caller that gets NOT_RUN for its own key takes a new one. So no earlier request with that key may have run, or
+     * run later. A key conflict refers only to the body that was refused, since the key belongs to another one.
      */
     private void checkKeyNeverRan(SimulatedCaller caller) {
-        if (!caller.pipeline().equals("install") || caller.minted()) {
+        if (!caller.pipeline().equals("install") || caller.hasGeneratedKey()) {
             return;
         }
         count("NOT_RUN to an own key, which never ran");
@@ -72,7 +72,7 @@
                 .filter(c -> c.key().equals(caller.key()) && c.pipeline().equals("install"))
                 .filter(c -> !conflict || c.token().equals(caller.token()))
                 .map(SimulatedCaller::requestId)
-                .filter(deployment.book()::ranAttemptOf)
+                .filter(deployment.executions()::ranAttemptOf)
                 .toList();
         assertThat(earlier)
                 .as("arrivals that ran under key %s of %s, told NOT_RUN", caller.key(), caller.requestId())
@@ -85,12 +85,12 @@
             assertThat(caller.body()).contains("\"token\":\"" + caller.token() + "\"");
             return;
         }
-        String story = SimulatedUpstream.story(caller.token());
-        assertThat(caller.body()).contains("\"output\":\"" + story + "\"");
+        String fullText = SimulatedUpstream.fullText(caller.token());
+        assertThat(caller.body()).contains("\"output\":\"" + fullText + "\"");
         assertThat(caller.body()).contains("about " + caller.token());
         if (!caller.text().isEmpty()) {
             count("stream without gap or repeat");
-            assertThat(caller.text()).isEqualTo(story);
+            assertThat(caller.text()).isEqualTo(fullText);
         }
     }
 
@@ -101,7 +101,7 @@
                         SimulatedCaller::key, Collectors.mapping(SimulatedCaller::token, Collectors.toSet())));
         tokensByKey.forEach((key, tokens) -> {
             count("key ran at most once");
-            int runs = tokens.stream().mapToInt(deployment.book()::count).sum();
+            int runs = tokens.stream().mapToInt(deployment.executions()::count).sum();
             assertThat(runs).as("executions of key " + key).isLessThanOrEqualTo(1);
         });
     }
@@ -117,7 +117,7 @@
                 count("resend got the first outcome");
                 assertThat(caller.body()).as("outcome of key " + caller.key()).isEqualTo(first);
             }
-            assertThat(deployment.book().count(caller.token())).isEqualTo(1);
+            assertThat(deployment.executions().count(caller.token())).isEqualTo(1);
         }
     }
 
@@ -136,7 +136,7 @@
         }
     }
 
-    private void count(String promise) {
-        checked.merge(promise, 1, Integer::sum);
+    private void count(String guarantee) {
+        checked.merge(guarantee, 1, Integer::sum);
     }
 }
--- a/library/src/test/java/org/copperspindle/entry/RequestAdmissionTest.java
+++ b/library/src/test/java/org/copperspindle/entry/RequestAdmissionTest.java
@@ -16,9 +16,9 @@
 class RequestAdmissionTest {
 
     /**
-     * A caller resends a key after the configuration changed, the entry stopped, or the account is over its rate, and is
-     * refused on arrival. The first arrival may have run, so NOT_RUN would make the caller take a new key and run it
-     * twice. Without a key of the caller's, or where the work may be repeated, NOT_RUN harms nobody.
+     * A caller resends a key after the configuration changed, the entry stopped, or the account exceeded its rate, and
+     * is refused at admission. The first request may have run, so NOT_RUN would make the caller take a new key and run
+     * it twice. Without a key sent by the caller, or for repeatable work, NOT_RUN is safe.
      */
     @ParameterizedTest
     @CsvSource({
@@ -35,9 +35,8 @@
         "not-serving,         secret, install,  , NOT_RUN",
         "not-serving,         secret, lookup,  k, NOT_RUN"
     })
-    void refusedArrivalThatMayBeAResendIsNotToldNotRun(
-            String reason, String bearer, String service, String key, String verdict) {
-        // An entry that has no room for any request refuses by the same reason as an account over its rate.
+    void refusalOfAPossibleResendIsNotNotRun(String reason, String bearer, String service, String key, String verdict) {
+        // An entry without capacity for any request refuses with the same reason as for an account over its rate.
         int maxInProgress = reason.equals("rate") ? 0 : 1;
         EntryPolicy policy = EntryPolicyFactory.of(PolicyKind.LEAST_LOAD, new FleetView(), maxInProgress);
         policy.configure(SimulatedDeployment.VIEW.deployment());
--- a/library/src/test/java/org/copperspindle/entry/WorstMomentTest.java
+++ b/library/src/test/java/org/copperspindle/entry/RequestFaultTest.java
@@ -19,17 +19,17 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** Faults at the worst moment of one request, each brought about on purpose in a deployment in virtual time. */
-class WorstMomentTest {
+/** Tests faults at the worst moment of one request, each injected in a deployment in virtual time. */
+class RequestFaultTest {
 
     private static final Duration LONG = Duration.ofSeconds(40);
 
-    /** Less than an agent keeps an outcome for which nobody asks. */
+    /** Shorter than the time that an agent keeps an outcome that is not queried. */
     private static final Duration SOON = Duration.ofSeconds(2);
 
     private final SimulatedDeployment deployment = new SimulatedDeployment(2, 2);
 
-    /** How far an install through the first entry has come when the fault strikes. */
+    /** Progress of an install through the first entry when the fault is injected. */
     enum Moment {
         CLAIMED,
         RAN,
@@ -37,13 +37,14 @@
     }
 
     /**
-     * The entry dies after the claim is committed and before its order arrives, or after the run, or after the answer and
-     * before the acknowledgement. The caller resends through the other entry, which finds the claim and asks the agent:
-     * never arrived, so it may run now; or the kept outcome. One execution and a whole answer in each case.
+     * The entry crashes after the claim is committed and before its order arrives, or after the run, or after the
+     * response and before the acknowledgement. The caller resends through the other entry, which finds the claim and
+     * queries the agent: either the attempt never arrived and may run now, or its kept outcome is returned. In each
+     * case there is one execution and a whole response.
      */
     @ParameterizedTest
     @EnumSource
-    void resendAfterTheEntryDiedRunsOnce(Moment moment) {
+    void resendAfterEntryCrashRunsOnce(Moment moment) {
         SimulatedCaller first = install(0);
         reach(moment, first);
         deployment.crash(deployment.entries().get(0));
@@ -52,21 +53,21 @@
 
         assertThat(resent.verdict()).isEqualTo("RAN");
         assertThat(resent.successful()).isTrue();
-        assertThat(deployment.book().count("w1")).isEqualTo(1);
+        assertThat(deployment.executions().count("w1")).isEqualTo(1);
         if (moment == Moment.ANSWERED) {
             assertThat(resent.body()).isEqualTo(first.body());
         }
     }
 
     /**
-     * The agent dies after its upstream began to run the install. Its table is gone, so nobody can say how it ended: both
-     * the caller and a resend through the other entry are told MAY_HAVE_RUN, and it is never run again.
+     * The agent crashes after its upstream began to run the install. Its table is lost, so the outcome can't be known:
+     * both the caller and a resend through the other entry get MAY_HAVE_RUN, and the install is never run again.
      */
     @Test
-    void installWhoseAgentDiedIsNeverRunAgain() {
+    void installIsNotRunAgainAfterAgentCrash() {
         SimulatedCaller first = install(0);
         reach(Moment.RAN, first);
-        deployment.crash(holder());
+        deployment.crash(agentOfInstall());
         deployment.until("the first answer", () -> first.ends() == 1);
         SimulatedCaller resent = install(1);
         deployment.advance(LONG);
@@ -74,18 +75,18 @@
         assertThat(first.verdict()).isEqualTo("MAY_HAVE_RUN");
         assertThat(resent.verdict()).isEqualTo("MAY_HAVE_RUN");
         assertThat(resent.answer().orElseThrow().retryAfter()).isPresent();
-        assertThat(deployment.book().count("w1")).isEqualTo(1);
+        assertThat(deployment.executions().count("w1")).isEqualTo(1);
     }
 
     /**
-     * The upstream's VM leaves the membership while its install runs. Asking on would be in vain, so the caller is told
+     * The upstream's VM leaves the membership while its install runs. Further queries are pointless, so the caller gets
      * MAY_HAVE_RUN at once, not at its deadline.
      */
     @Test
-    void goneAgentIsReportedAtOnce() {
+    void removedAgentIsReportedAtOnce() {
         SimulatedCaller caller = install(0);
         reach(Moment.RAN, caller);
-        InetSocketAddress address = holderAddress();
+        InetSocketAddress address = addressOfInstall();
         deployment.remove(address);
         deployment.crash(deployment.agent(address));
         deployment.until("the answer", () -> caller.ends() == 1);
@@ -95,8 +96,8 @@
     }
 
     /**
-     * The connection to the agent breaks between run and answer. The entry connects again and asks for the kept outcome:
-     * the caller gets its whole answer, and neither an unrepeatable nor a repeatable stage is paid for twice.
+     * The connection to the agent breaks between run and response. The entry reconnects and queries the kept outcome:
+     * the caller gets its whole response, and neither an unrepeatable nor a repeatable stage runs twice.
      */
     @ParameterizedTest
     @ValueSource(strings = {"install", "lookup"})
@@ -107,56 +108,56 @@
         deployment.advance(LONG);
 
         assertThat(caller.successful()).isTrue();
-        assertThat(deployment.book().count("w1")).isEqualTo(1);
+        assertThat(deployment.executions().count("w1")).isEqualTo(1);
     }
 
     /**
-     * Control is cut off when the claim is asked for. Nothing may be dispatched without it, so the caller is refused with
-     * a time to come back well before its deadline: NOT_RUN if no other arrival can have the key. When control is back,
-     * the resend runs, once.
+     * Control is unreachable when the claim is requested. Nothing may be dispatched without it, so the caller is
+     * refused with a retry time well before its deadline; with NOT_RUN if no other request can have the key. When
+     * control is reachable again, the resend runs once.
      */
     @ParameterizedTest
     @CsvSource({"'',NOT_RUN", "k1,MAY_HAVE_RUN"})
     void withoutAClaimNothingRuns(String key, String verdict) {
-        deployment.control().away(true);
+        deployment.control().disconnected(true);
         SimulatedCaller refused = deployment.call(0, "install", key, "w1");
         deployment.until("the answer", () -> refused.ends() == 1);
         assertThat(refused.verdict()).isEqualTo(verdict);
         assertThat(refused.answer().orElseThrow().retryAfter()).isPresent();
         assertThat(refused.endedAt()).isLessThan(Duration.ofSeconds(4).toNanos());
 
-        deployment.control().away(false);
+        deployment.control().disconnected(false);
         SimulatedCaller resent = install(1);
         deployment.advance(LONG);
         assertThat(resent.successful()).isTrue();
-        assertThat(deployment.book().count("w1")).isEqualTo(1);
+        assertThat(deployment.executions().count("w1")).isEqualTo(1);
     }
 
     /**
-     * The claim is granted after its caller has left. The entry never dispatches it, and says so to the claims: the key is
-     * free at once for a resend, which need not ask any agent.
+     * The claim is granted after its caller disconnected. The entry never dispatches the attempt and releases the
+     * claim: a resend can use the key at once and need not query any agent.
      */
     @Test
-    void claimGrantedTooLateIsGivenBack() {
+    void claimGrantedTooLateIsReleased() {
         SimulatedCaller caller = install(0);
         deployment.entries().get(0).callerLeaves(caller);
         deployment.advance(LONG);
-        assertThat(deployment.book().count("w1")).isZero();
+        assertThat(deployment.executions().count("w1")).isZero();
 
         assertThat(deployment.control().table().size()).isEqualTo(1);
-        assertThat(claimAnew().result()).isEqualTo(ClaimResult.GRANTED);
+        assertThat(claimAgain().result()).isEqualTo(ClaimResult.GRANTED);
     }
 
     /**
-     * An entry dies while its install runs; a resend through another entry asks the agent, and its caller leaves before
-     * the reply. The late outcome is settled and acknowledged all the same, in this order. Left unacknowledged, the agent
-     * would wait its whole drain time when it stops; a later resend gets the first outcome.
+     * An entry crashes while its install runs; a resend through another entry queries the agent, and its caller
+     * disconnects before the reply. The late outcome is still settled and then acknowledged. Without the
+     * acknowledgement the agent would wait its whole drain time when it stops; a later resend gets the first outcome.
      */
     @Test
     void lateOutcomeOfAnInstallIsSettledAndAcknowledged() {
         SimulatedCaller first = install(0);
         reach(Moment.RAN, first);
-        InetSocketAddress address = holderAddress();
+        InetSocketAddress address = addressOfInstall();
         deployment.crash(deployment.entries().get(0));
         SimulatedCaller resent = install(1);
         SimulatedEntry entry = deployment.entries().get(1);
@@ -165,33 +166,33 @@
         assertThat(resent.ends()).isZero();
         deployment.advance(SOON);
         assertThat(deployment.agent(address).unacknowledged()).isZero();
-        assertThat(claimAnew().ended()).as("settled before it is acknowledged").isTrue();
+        assertThat(claimAgain().ended()).as("settled before it is acknowledged").isTrue();
 
         SimulatedCaller again = install(1);
         deployment.advance(LONG);
         assertThat(again.successful()).isTrue();
-        assertThat(deployment.book().count("w1")).isEqualTo(1);
+        assertThat(deployment.executions().count("w1")).isEqualTo(1);
     }
 
     /**
-     * A lookup is given up because its agent can't be asked, and runs elsewhere. The first outcome comes after all: nobody
-     * needs it, and its agent is told so.
+     * A lookup is abandoned because its agent can't be queried, and runs elsewhere. The first outcome arrives late:
+     * nobody needs it, and it is acknowledged to its agent.
      */
     @Test
     void lateOutcomeOfALookupIsAcknowledged() {
         SimulatedCaller caller = deployment.call(0, "lookup", "k1", "w1");
         reach(Moment.RAN, caller);
-        InetSocketAddress address = holderAddress();
+        InetSocketAddress address = addressOfInstall();
         String attempt = caller.requestId() + "/" + deployment.stageOf("lookup").split("/")[1] + "/1";
         deployment.entries().get(0).notSent(new OutcomeQueryMessage(attempt, 1, 0, false));
         deployment.advance(SOON);
 
         assertThat(caller.successful()).isTrue();
-        assertThat(deployment.book().count("w1")).isEqualTo(2);
+        assertThat(deployment.executions().count("w1")).isEqualTo(2);
         assertThat(deployment.agent(address).unacknowledged()).isZero();
     }
 
-    /** The same key with another body is another request that borrows a key: it is refused and never runs. */
+    /** The same key with another body is a different request: it is refused and never runs. */
     @Test
     void sameKeyWithAnotherBodyIsRefused() {
         install(0);
@@ -201,15 +202,15 @@
 
         assertThat(other.verdict()).isEqualTo("NOT_RUN");
         assertThat(other.answer().orElseThrow().status()).isEqualTo(409);
-        assertThat(deployment.book().count("w2")).isZero();
+        assertThat(deployment.executions().count("w2")).isZero();
     }
 
     /**
-     * A key is resent after its claim has ended. What became of the first run is not known any more, but that the key was
-     * used is: the resend is refused, and is not told NOT_RUN, which would send the caller off with a new key.
+     * A key is resent after its claim has expired. The outcome of the first run is not known any more, only that the
+     * key was used: the resend is refused, but not with NOT_RUN, after which the caller would use a new key.
      */
     @Test
-    void keyTooOldToBeJudgedIsRefused() {
+    void keyOfAnExpiredClaimIsRefused() {
         ClaimLimits limits = new ClaimLimits(Duration.ofSeconds(60), Duration.ofHours(1), 1024, 1024);
         SimulatedDeployment aging = new SimulatedDeployment(2, 2, limits);
         aging.call(0, "install", "k1", "w1");
@@ -219,12 +220,12 @@
 
         assertThat(late.verdict()).isEqualTo("MAY_HAVE_RUN");
         assertThat(late.answer().orElseThrow().status()).isEqualTo(409);
-        assertThat(aging.book().count("w1")).isEqualTo(1);
+        assertThat(aging.executions().count("w1")).isEqualTo(1);
     }
 
     /**
-     * The caller of an install leaves while it runs. The install goes on, its claim is settled and its outcome
-     * acknowledged, so that a resend gets it; the entry then holds nothing of it.
+     * The caller of an install disconnects while it runs. The install continues, its claim is settled and its outcome
+     * acknowledged, so that a resend gets it; the entry then holds no state of it.
      */
     @Test
     void installOutlivesItsCaller() {
@@ -233,21 +234,21 @@
         deployment.entries().get(0).callerLeaves(caller);
         deployment.advance(LONG);
         assertThat(deployment.entries().get(0).driver().inProgress()).isZero();
-        assertThat(claimAnew().result()).isEqualTo(ClaimResult.HELD);
-        assertThat(claimAnew().ended()).as("settled").isTrue();
+        assertThat(claimAgain().result()).isEqualTo(ClaimResult.HELD);
+        assertThat(claimAgain().ended()).as("settled").isTrue();
 
         SimulatedCaller resent = install(1);
         deployment.advance(LONG);
         assertThat(resent.successful()).isTrue();
-        assertThat(deployment.book().count("w1")).isEqualTo(1);
+        assertThat(deployment.executions().count("w1")).isEqualTo(1);
     }
 
     /**
-     * A caller stops reading its stream. What waits for it is bounded: the answer ends as broken, the generation is
-     * cancelled, and the entry holds nothing of it any more.
+     * A caller stops reading its stream. The bytes buffered for it are bounded: the response ends as broken, the
+     * generation is cancelled, and the entry holds no state of it.
      */
     @Test
-    void slowCallerHoldsOnlyItsOwnBoundedMemory() {
+    void memoryHeldForASlowCallerIsBounded() {
         SimulatedCaller caller = deployment.call(0, "describe", "k1", "d1", true);
         deployment.until("the first piece", () -> !caller.text().isEmpty());
         caller.stall();
@@ -261,17 +262,18 @@
     }
 
     /**
-     * An install ran, and its answer was lost with the connection to its caller. The caller resends the key while the
-     * claims can't be reached, or while no upstream is known, so the resend is refused before its claim is looked up. Told
-     * NOT_RUN, it would take a new key and install twice; so it is told to ask again, and then gets the first outcome.
+     * An install ran, and its response was lost with the connection to its caller. The caller resends the key while the
+     * claims are unreachable, or while no upstream is known, so the resend is refused before its claim is looked up.
+     * After NOT_RUN the caller would take a new key and install twice; so it is asked to retry with the same key, and
+     * then gets the first outcome.
      */
     @ParameterizedTest
     @ValueSource(strings = {"claim-unavailable", "no-upstream"})
-    void refusedResendOfAKeyThatRanIsNotToldNotRun(String fault) {
+    void refusalOfAResendThatRanIsNotNotRun(String fault) {
         SimulatedCaller first = install(0);
         reach(Moment.ANSWERED, first);
         deployment.advance(LONG);
-        deployment.control().away(fault.equals("claim-unavailable"));
+        deployment.control().disconnected(fault.equals("claim-unavailable"));
         if (fault.equals("no-upstream")) {
             deployment.entries().set(1, new SimulatedEntry(deployment, SimulatedDeployment.VIEW));
         }
@@ -282,18 +284,18 @@
         assertThat(refused.answer().orElseThrow().title()).contains("same key");
         assertThat(refused.answer().orElseThrow().retryAfter()).isPresent();
 
-        deployment.control().away(false);
+        deployment.control().disconnected(false);
         deployment.update();
         SimulatedCaller resent = install(1);
         deployment.advance(LONG);
         assertThat(resent.body()).isEqualTo(first.body());
-        assertThat(deployment.book().count("w1")).isEqualTo(1);
+        assertThat(deployment.executions().count("w1")).isEqualTo(1);
     }
 
-    /** No upstream can take the request: the module gives it up and says so at once, with a time to come back. */
+    /** No upstream can accept the request: it is refused at once, with a retry time. */
     @ParameterizedTest
     @CsvSource({"'',NOT_RUN", "k1,MAY_HAVE_RUN"})
-    void requestGivenUpIsAnsweredAtOnce(String key, String verdict) {
+    void requestWithoutAnUpstreamIsRefusedAtOnce(String key, String verdict) {
         deployment.remove(deployment.address("gallery", 0));
         deployment.remove(deployment.address("gallery", 0));
         long now = deployment.timers().nanoTime();
@@ -305,8 +307,8 @@
         assertThat(caller.answer().orElseThrow().retryAfter()).isPresent();
     }
 
-    /** What another attempt that claims the same key is told. */
-    private ClaimDecision claimAnew() {
+    /** Returns the decision on another attempt to claim the same key. */
+    private ClaimDecision claimAgain() {
         ClaimRequestMessage claim = new ClaimRequestMessage(
                 0,
                 "gallery",
@@ -330,16 +332,17 @@
         switch (moment) {
             case CLAIMED ->
                 deployment.until("the claim", () -> deployment.control().table().size() == 1);
-            case RAN -> deployment.until("the run", () -> deployment.book().count("w1") == 1);
+            case RAN ->
+                deployment.until("the run", () -> deployment.executions().count("w1") == 1);
             default -> deployment.until("the answer", () -> caller.ends() == 1);
         }
     }
 
-    private SimulatedAgent holder() {
-        return deployment.agent(holderAddress());
+    private SimulatedAgent agentOfInstall() {
+        return deployment.agent(addressOfInstall());
     }
 
-    private InetSocketAddress holderAddress() {
+    private InetSocketAddress addressOfInstall() {
         return deployment.entries().get(0).openConnections().stream()
                 .filter(a -> a.equals(deployment.address("gallery", 0)) || a.equals(deployment.address("gallery", 1)))
                 .findFirst()
--- a/library/src/test/java/org/copperspindle/entry/RequestScheduleTest.java
+++ b/library/src/test/java/org/copperspindle/entry/RequestScheduleTest.java
@@ -16,10 +16,10 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Random schedules over several entries, agents and one claims log: requests arrive, keys are resent at once and later
- * through any entry, callers leave, and the network, the upstreams, the processes and the leader fail as often as the
- * parameter says. Whatever happens, what callers are told must agree with an independent book of executions. The seeds
- * are fixed, so a failing schedule fails again.
+ * Random schedules over several entries, agents and one claims log. Requests arrive, keys are resent at once and later
+ * through any entry, callers disconnect, and the network, the upstreams, the processes and the leader fail with the
+ * given probabilities. The responses to callers must always agree with independently recorded executions. The seeds are
+ * fixed, so a failing schedule fails again.
  */
 class RequestScheduleTest {
 
@@ -27,8 +27,9 @@
     private static final int SCHEDULES = Integer.getInteger("copperspindle.schedules", 400);
     private static final int ARRIVALS = 24;
     private static final int KEYS = 6;
-    private static final long HEAL_NANOS = Duration.ofSeconds(40).toNanos();
-    private static final ClaimLimits SHORT = new ClaimLimits(Duration.ofSeconds(1), Duration.ofHours(1), 1024, 32768);
+    private static final long RECOVERY_NANOS = Duration.ofSeconds(40).toNanos();
+    private static final ClaimLimits SHORT_RETENTION =
+            new ClaimLimits(Duration.ofSeconds(1), Duration.ofHours(1), 1024, 32768);
 
     static Stream<Arguments> faults() {
         return Stream.of(
@@ -38,28 +39,28 @@
                 Arguments.of("control", SimulatedFaults.CONTROL, ClaimLimits.DEFAULT),
                 Arguments.of("upstreams", SimulatedFaults.UPSTREAMS, ClaimLimits.DEFAULT),
                 Arguments.of("all", SimulatedFaults.ALL, ClaimLimits.DEFAULT),
-                Arguments.of("all, claims ending under way", SimulatedFaults.ALL, SHORT));
+                Arguments.of("all, claims ending under way", SimulatedFaults.ALL, SHORT_RETENTION));
     }
 
     @ParameterizedTest(name = "{0}")
     @MethodSource("faults")
-    void callersAreToldTheTruth(String name, SimulatedFaults faults, ClaimLimits limits) {
+    void responsesAgreeWithExecutions(String name, SimulatedFaults faults, ClaimLimits limits) {
         Map<String, Integer> checked = new TreeMap<>();
-        Map<String, Integer> brought = new TreeMap<>();
+        Map<String, Integer> injected = new TreeMap<>();
         for (int seed = 0; seed < SCHEDULES; seed++) {
             SimulatedDeployment deployment = new SimulatedDeployment(seed, 3, limits);
             try {
                 run(deployment, faults, new SplittableRandom(seed));
-                PromiseCheck check = new PromiseCheck(deployment);
+                GuaranteeCheck check = new GuaranteeCheck(deployment);
                 check.checkAll();
-                check.checked().forEach((promise, n) -> checked.merge(promise, n, Integer::sum));
-                deployment.counts().forEach((fault, n) -> brought.merge(fault, n, Integer::sum));
-                brought.merge("executions", deployment.book().total(), Integer::sum);
+                check.checked().forEach((guarantee, n) -> checked.merge(guarantee, n, Integer::sum));
+                deployment.counts().forEach((fault, n) -> injected.merge(fault, n, Integer::sum));
+                injected.merge("executions", deployment.executions().total(), Integer::sum);
             } catch (AssertionError | RuntimeException e) {
                 throw new AssertionError("faults " + name + ", seed " + seed + ": " + e.getMessage(), e);
             }
         }
-        LOGGER.info("event=schedules faults={} schedules={} brought={} checked={}", name, SCHEDULES, brought, checked);
+        LOGGER.info("event=schedules faults={} schedules={} brought={} checked={}", name, SCHEDULES, injected, checked);
         assertThat(checked).containsKeys("whole answer is its own", "key ran at most once");
     }
 
@@ -67,19 +68,19 @@
         deployment.faults(faults);
         for (int i = 0; i < ARRIVALS; i++) {
             SimulatedCaller caller = arrive(deployment, random);
-            if (SimulatedFaults.strikes(random, faults.callerLeaves())) {
+            if (SimulatedFaults.occurs(random, faults.callerLeaves())) {
                 SimulatedEntry entry = deployment.entries().get(random.nextInt(3));
                 deployment.timers().schedule(random.nextLong(20_000_000), () -> entry.callerLeaves(caller));
             }
             deployment.timers().advance(random.nextLong(random.nextInt(8) == 0 ? 2_000_000_000L : 12_000_000L));
         }
         deployment.faults(SimulatedFaults.NONE);
-        deployment.timers().advance(HEAL_NANOS);
+        deployment.timers().advance(RECOVERY_NANOS);
         for (int key = 0; key < KEYS; key++) {
-            // Healed: every key gets a definite answer now.
+            // Without faults, every key gets a definite response.
             deployment.call(random.nextInt(3), "install", "k" + key, token(key, 0));
         }
-        deployment.timers().advance(HEAL_NANOS);
+        deployment.timers().advance(RECOVERY_NANOS);
     }
 
     private static SimulatedCaller arrive(SimulatedDeployment deployment, SplittableRandom random) {
--- a/library/src/test/java/org/copperspindle/entry/SimulatedCaller.java
+++ b/library/src/test/java/org/copperspindle/entry/SimulatedCaller.java
@@ -4,7 +4,7 @@
 
 import org.copperspindle.pipeline.PipelineAnswer;
 
-/** One arrival of a request, and what its caller was told. */
+/** One request of a caller, and the response to it. */
 final class SimulatedCaller implements AnswerSink {
 
     private final String requestId;
@@ -36,17 +36,17 @@
     }
 
     @Override
-    public void piece(String piece) {
+    public void writeChunk(String chunk) {
         if (!left) {
-            text.append(piece);
+            text.append(chunk);
         }
     }
 
     @Override
-    public void end(String id, PipelineAnswer given) {
+    public void end(String id, PipelineAnswer received) {
         ends++;
         endedAt = deployment.timers().nanoTime();
-        answer = Optional.of(given);
+        answer = Optional.of(received);
     }
 
     /** The caller stops reading. */
@@ -59,7 +59,7 @@
         return stalled ? Long.MAX_VALUE : 0;
     }
 
-    /** The caller is gone, or the entry that it called is. */
+    /** The caller disconnected, or its entry crashed. */
     void leave() {
         left = true;
     }
@@ -80,8 +80,8 @@
         return key;
     }
 
-    /** Whether the caller sent no key, so that the entry made one. */
-    boolean minted() {
+    /** Returns whether the caller sent no key, so that the entry generated one. */
+    boolean hasGeneratedKey() {
         return key.equals(requestId);
     }
 
--- a/library/src/test/java/org/copperspindle/entry/SimulatedConnection.java
+++ b/library/src/test/java/org/copperspindle/entry/SimulatedConnection.java
@@ -13,8 +13,8 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * A connection of an entry to an agent. Worse than TCP: it drops, doubles and reorders messages, and hands some to the
- * agent after the entry was told that the connection is gone.
+ * A connection of an entry to an agent, less reliable than TCP: it drops, duplicates and reorders messages, and
+ * delivers some to the agent after the entry was notified that the connection is closed.
  */
 final class SimulatedConnection implements Peer {
 
@@ -58,8 +58,8 @@
             deployment.timers().schedule(0, () -> entry.notSent(message));
             return;
         }
-        SimulatedAgent life = agent;
-        lastToAgent = carry(() -> life.receive(stamped.get(), this), lastToAgent);
+        SimulatedAgent currentAgent = agent;
+        lastToAgent = deliver(() -> currentAgent.receive(stamped.get(), this), lastToAgent);
         maybeCut();
     }
 
@@ -68,7 +68,7 @@
         if (cut) {
             return false;
         }
-        lastToEntry = carry(
+        lastToEntry = deliver(
                 () -> {
                     if (!cut) {
                         entry.receive(address, message);
@@ -79,7 +79,7 @@
         return true;
     }
 
-    /** Ends the connection. What is on its way to the agent may still arrive there. */
+    /** Closes the connection. Messages in transit to the agent may still arrive there. */
     void cut() {
         if (!cut) {
             cut = true;
@@ -119,25 +119,25 @@
     }
 
     private void maybeCut() {
-        if (deployment.strikes(deployment.faults().cut())) {
+        if (deployment.occurs(deployment.faults().cut())) {
             cut();
         }
     }
 
-    private long carry(Runnable arrival, long last) {
-        if (deployment.strikes(deployment.faults().drop())) {
+    private long deliver(Runnable arrival, long last) {
+        if (deployment.occurs(deployment.faults().drop())) {
             deployment.count("messages dropped");
             return last;
         }
         long now = deployment.timers().nanoTime();
         long at = now + deployment.delay();
-        if (!deployment.strikes(deployment.faults().reorder())) {
+        if (!deployment.occurs(deployment.faults().reorder())) {
             at = Math.max(at, last);
         } else {
             deployment.count("messages reordered");
         }
         deployment.timers().schedule(at - now, arrival);
-        if (deployment.strikes(deployment.faults().duplicate())) {
+        if (deployment.occurs(deployment.faults().duplicate())) {
             deployment.count("messages doubled");
             deployment.timers().schedule(at - now + deployment.delay(), arrival);
         }
--- a/library/src/test/java/org/copperspindle/entry/SimulatedControl.java
+++ b/library/src/test/java/org/copperspindle/entry/SimulatedControl.java
@@ -13,14 +13,14 @@
 import org.copperspindle.claims.LogClock;
 import org.copperspindle.wire.WireMessage;
 
-/** The claims log of a simulated deployment: commits in order, loses messages, changes its leader. */
+/** The claims log of a simulated deployment: commits in order, loses messages, and changes its leader. */
 final class SimulatedControl {
 
     private final SimulatedDeployment deployment;
     private final ClaimTable table;
     private LogClock clock;
     private long term = 1;
-    private boolean away;
+    private boolean disconnected;
 
     SimulatedControl(SimulatedDeployment deployment, ClaimLimits limits) {
         this.deployment = deployment;
@@ -32,26 +32,26 @@
         return table;
     }
 
-    /** Cuts the control members off, or brings them back. */
-    void away(boolean value) {
-        away = value;
+    /** Disconnects the control members, or reconnects them. */
+    void disconnected(boolean value) {
+        disconnected = value;
     }
 
     void receive(WireMessage message, Consumer<WireMessage> reply) {
-        if (away || deployment.strikes(deployment.faults().controlLoss())) {
+        if (disconnected || deployment.occurs(deployment.faults().controlLoss())) {
             return;
         }
-        if (deployment.strikes(deployment.faults().failover())) {
+        if (deployment.occurs(deployment.faults().failover())) {
             changeLeader(message, reply);
             return;
         }
         WireMessage answer = commit(message);
-        if (!deployment.strikes(deployment.faults().controlLoss())) {
+        if (!deployment.occurs(deployment.faults().controlLoss())) {
             reply.accept(answer);
         }
     }
 
-    /** The old leader does not say how its proposal ended: committed, or not taken. */
+    /** The old leader does not report the result of its proposal, which was either committed or not accepted. */
     private void changeLeader(WireMessage message, Consumer<WireMessage> reply) {
         if (deployment.random().nextBoolean()) {
             commit(message);
--- a/library/src/test/java/org/copperspindle/entry/SimulatedDeployment.java
+++ b/library/src/test/java/org/copperspindle/entry/SimulatedDeployment.java
@@ -21,7 +21,7 @@
 
 /**
  * Entries, agents, upstreams and claims of one deployment in virtual time. Only the network, the upstreams and the
- * crashes are simulated; every decision is made by the code that serves.
+ * crashes are simulated; all decisions are made by the production code.
  */
 final class SimulatedDeployment {
 
@@ -68,11 +68,11 @@
     }
 
     private static final long MAX_DELAY_NANOS = 4_000_000;
-    private static final long AWAY_NANOS = Duration.ofMillis(400).toNanos();
+    private static final long MAX_RESTART_NANOS = Duration.ofMillis(400).toNanos();
 
     private final VirtualTimerService timers = new VirtualTimerService();
     private final SplittableRandom random;
-    private final ExecutionBook book = new ExecutionBook();
+    private final ExecutionRecorder executions = new ExecutionRecorder();
     private final SimulatedControl control;
     private final Map<InetSocketAddress, SimulatedUpstream> upstreams = new LinkedHashMap<>();
     private final Map<InetSocketAddress, SimulatedAgent> agents = new LinkedHashMap<>();
@@ -100,7 +100,7 @@
                 SimulatedUpstream upstream = new SimulatedUpstream(this, kind);
                 upstreams.put(address, upstream);
                 pools.put(address, poolOf(kind));
-                agents.put(address, life(address, 1));
+                agents.put(address, newAgent(address, 1));
             }
         }
         for (int i = 0; i < entryCount; i++) {
@@ -117,8 +117,8 @@
         return random;
     }
 
-    ExecutionBook book() {
-        return book;
+    ExecutionRecorder executions() {
+        return executions;
     }
 
     SimulatedControl control() {
@@ -145,7 +145,7 @@
         return agents.get(address);
     }
 
-    /** Faults brought about so far, by kind. */
+    /** Returns the injected faults by kind. */
     Map<String, Integer> counts() {
         return counts;
     }
@@ -154,8 +154,8 @@
         counts.merge(what, 1, Integer::sum);
     }
 
-    boolean strikes(double chance) {
-        return SimulatedFaults.strikes(random, chance);
+    boolean occurs(double chance) {
+        return SimulatedFaults.occurs(random, chance);
     }
 
     long delay() {
@@ -166,11 +166,11 @@
         timers.schedule(delay(), task);
     }
 
-    /** Runs one event after the other until something is so. */
+    /** Runs events one by one until the condition holds. */
     void until(String what, BooleanSupplier condition) {
         while (!condition.getAsBoolean()) {
             if (!timers.step()) {
-                throw new AssertionError("never came to pass: " + what);
+                throw new AssertionError("condition never became true: " + what);
             }
         }
     }
@@ -179,7 +179,7 @@
         timers.advance(time.toNanos());
     }
 
-    /** A request arrives at an entry. */
+    /** Sends a request to an entry. */
     SimulatedCaller call(int entry, String pipeline, String key, String token) {
         boolean streaming = pipeline.equals("describe") && random.nextBoolean();
         return call(entry, pipeline, key, token, streaming);
@@ -188,7 +188,7 @@
     SimulatedCaller call(int entry, String pipeline, String key, String token, boolean streaming) {
         long deadline = timers.nanoTime() + DEADLINE.toNanos();
         String requestId = "r" + arrivals++;
-        // Without a key of the caller's the entry makes one that no other arrival has.
+        // Without a key from the caller, the entry generates a unique one.
         String ownKey = key.isEmpty() ? requestId : key;
         SimulatedCaller caller = new SimulatedCaller(this, requestId, pipeline, ownKey, token, deadline);
         callers.add(caller);
@@ -201,7 +201,7 @@
         return ("{\"input\":\"face-" + token + "|\",\"token\":\"" + token + "\"}").getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Pipeline and first stage, as claims name it. */
+    /** Returns pipeline and first stage as named in claims. */
     String stageOf(String pipeline) {
         String stage =
                 VIEW.deployment().pipelines().get(pipeline).stages().get(0).name();
@@ -209,18 +209,18 @@
     }
 
     void maybeCrash(SimulatedEntry entry) {
-        if (!entry.dead() && strikes(faults.entryCrash())) {
+        if (!entry.dead() && occurs(faults.entryCrash())) {
             crash(entry);
         }
     }
 
     void maybeCrash(SimulatedAgent agent) {
-        if (!agent.dead() && strikes(faults.agentCrash())) {
+        if (!agent.dead() && occurs(faults.agentCrash())) {
             crash(agent);
         }
     }
 
-    /** An entry dies; another life takes its place at once, with nothing of what the first knew. */
+    /** Crashes an entry. A new incarnation replaces it at once, with none of its state. */
     void crash(SimulatedEntry entry) {
         count("entries crashed");
         entry.die();
@@ -230,7 +230,7 @@
         next.update(membership());
     }
 
-    /** An agent dies; another life comes back after a while, as one with an empty table. */
+    /** Crashes an agent. A new incarnation with an empty table starts after a while. */
     void crash(SimulatedAgent agent) {
         count("agents crashed");
         agent.die();
@@ -240,13 +240,13 @@
                 .orElseThrow()
                 .getKey();
         entries.forEach(entry -> entry.cutTo(address));
-        timers.schedule(random.nextLong(AWAY_NANOS), () -> {
-            agents.put(address, life(address, agent.incarnation() + 1));
+        timers.schedule(random.nextLong(MAX_RESTART_NANOS), () -> {
+            agents.put(address, newAgent(address, agent.incarnation() + 1));
             later(this::update);
         });
     }
 
-    private SimulatedAgent life(InetSocketAddress address, long incarnation) {
+    private SimulatedAgent newAgent(InetSocketAddress address, long incarnation) {
         String id = idOf(address);
         return new SimulatedAgent(timers, upstreams.get(address), id, incarnation, forgetful);
     }
@@ -255,14 +255,14 @@
         return pools.get(address) + address.getPort();
     }
 
-    /** Tells every entry the membership as it is now. */
+    /** Sends the current membership to every entry. */
     void update() {
         revision++;
         ControlUpdateMessage update = membership();
         entries.forEach(entry -> entry.update(update));
     }
 
-    /** Tells every entry that an upstream has left for good. */
+    /** Removes an upstream for good and notifies every entry. */
     void remove(InetSocketAddress address) {
         pools.remove(address);
         update();
--- a/library/src/test/java/org/copperspindle/entry/SimulatedEntry.java
+++ b/library/src/test/java/org/copperspindle/entry/SimulatedEntry.java
@@ -19,7 +19,7 @@
 import org.copperspindle.routing.FleetView;
 import org.copperspindle.wire.WireMessage;
 
-/** One life of an entry: the real driver and claim client on simulated connections. */
+/** One incarnation of an entry: the real driver and claim client on simulated connections. */
 final class SimulatedEntry implements AgentPort {
 
     private static final int MAX_IN_PROGRESS = 1000;
@@ -69,14 +69,14 @@
         }
     }
 
-    /** Ends this life: whatever it was doing is gone, and its callers see a broken connection. */
+    /** Crashes this incarnation: its state is lost, and its callers see a broken connection. */
     void die() {
         dead = true;
         callers.stream().filter(c -> c.ends() == 0).forEach(SimulatedCaller::leave);
         List.copyOf(connections.values()).forEach(SimulatedConnection::cut);
     }
 
-    /** Every connection breaks; both ends live on. */
+    /** Breaks all connections; both sides stay alive. */
     void cutAll() {
         List.copyOf(connections.values()).forEach(SimulatedConnection::cut);
     }
@@ -85,7 +85,7 @@
         return connections.keySet();
     }
 
-    /** The agent's process is gone, and with it the connection. */
+    /** Breaks the connection to an agent whose process crashed. */
     void cutTo(InetSocketAddress agent) {
         if (connections.containsKey(agent)) {
             connections.get(agent).cut();
--- a/library/src/test/java/org/copperspindle/entry/SimulatedFaults.java
+++ b/library/src/test/java/org/copperspindle/entry/SimulatedFaults.java
@@ -3,18 +3,18 @@
 import java.util.SplittableRandom;
 
 /**
- * How often a simulated deployment fails, as chances from 0 to 1 for each occasion.
+ * Probabilities of faults in a simulated deployment, from 0 to 1 per occasion.
  *
- * @param drop         a message between entry and agent vanishes
+ * @param drop         a message between entry and agent is lost
  * @param duplicate    a message arrives twice
  * @param reorder      a message overtakes others
  * @param cut          a message is the last one of its connection
- * @param agentCrash   an agent dies after it took a message, and comes back as another life
- * @param entryCrash   an entry dies after it took an arrival or a message
- * @param controlLoss  a message to control, or its reply, vanishes
- * @param failover     the leader changes at a message, without having told the outcome
- * @param upstream     a call to the upstream fails in one of its ways
- * @param callerLeaves a caller goes away early
+ * @param agentCrash   an agent crashes after it received a message, and restarts as another incarnation
+ * @param entryCrash   an entry crashes after it received a request or a message
+ * @param controlLoss  a message to control, or its reply, is lost
+ * @param failover     the leader changes at a message, without reporting the result
+ * @param upstream     a call to the upstream fails in one of several ways
+ * @param callerLeaves a caller disconnects early
  */
 record SimulatedFaults(
         double drop,
@@ -35,7 +35,7 @@
     static final SimulatedFaults UPSTREAMS = new SimulatedFaults(0, 0, 0, 0, 0, 0, 0, 0, .3, .05);
     static final SimulatedFaults ALL = new SimulatedFaults(.02, .05, .05, .03, .02, .02, .1, .05, .15, .03);
 
-    static boolean strikes(SplittableRandom random, double chance) {
+    static boolean occurs(SplittableRandom random, double chance) {
         return chance > 0 && random.nextDouble() < chance;
     }
 }
--- a/library/src/test/java/org/copperspindle/entry/SimulatedUpstream.java
+++ b/library/src/test/java/org/copperspindle/entry/SimulatedUpstream.java
@@ -18,7 +18,7 @@
 import org.copperspindle.verdict.RanVerdict;
 import org.copperspindle.verdict.Verdict;
 
-/** One upstream with its own memory of what it ran. It goes on when its agent dies. */
+/** One upstream that records what it ran. It keeps running when its agent crashes. */
 public final class SimulatedUpstream {
 
     static final int WORDS = 8;
@@ -32,8 +32,8 @@
         this.kind = kind;
     }
 
-    /** Text that an engine generates for a token, whole. */
-    static String story(String token) {
+    /** Returns the whole text that an engine generates for a token. */
+    static String fullText(String token) {
         StringBuilder text = new StringBuilder();
         for (int i = 0; i < WORDS; i++) {
             text.append(token).append('w').append(i).append(' ');
@@ -41,15 +41,15 @@
         return text.toString();
     }
 
-    // The agent finished taking a message: a chance for it to die.
-    public void agentTookMessage(SimulatedAgent agent) {
+    // The agent finished processing a message and may now crash.
+    public void onAgentProcessed(SimulatedAgent agent) {
         deployment.maybeCrash(agent);
     }
 
-    // Runs an attempt; the end is reported once.
+    // Runs an attempt; its end is reported once.
     public void call(
             AttemptOrderMessage order, Consumer<AttemptChunkMessage> chunks, Consumer<AttemptOutcomeMessage> end) {
-        if (deployment.strikes(deployment.faults().upstream() / 3)) {
+        if (deployment.occurs(deployment.faults().upstream() / 3)) {
             deployment.count("upstream connects refused");
             deployment.later(() -> end.accept(outcome(order, new NotRunVerdict("connect"), 0, "", false, 0)));
             return;
@@ -61,8 +61,8 @@
             AttemptOrderMessage order, Consumer<AttemptChunkMessage> chunks, Consumer<AttemptOutcomeMessage> end) {
         JsonNode body = json(order.body());
         String token = token(body);
-        int number = deployment.book().ran(token, order.attemptId());
-        boolean fails = deployment.strikes(deployment.faults().upstream());
+        int number = deployment.executions().ran(token, order.attemptId());
+        boolean fails = deployment.occurs(deployment.faults().upstream());
         if (kind == PoolKind.ENGINE) {
             generate(order, token, body.path("prompt").asText(), fails, chunks, end);
             return;
@@ -95,12 +95,12 @@
             Consumer<AttemptChunkMessage> chunks,
             Consumer<AttemptOutcomeMessage> end) {
         String soFar = prompt.substring(prompt.lastIndexOf('|') + 1);
-        String story = story(token);
-        if (!story.startsWith(soFar)) {
+        String fullText = fullText(token);
+        if (!fullText.startsWith(soFar)) {
             throw new AssertionError("resumed behind foreign text: " + soFar);
         }
         StringBuilder events = new StringBuilder();
-        for (String word : story.substring(soFar.length()).split("(?<= )")) {
+        for (String word : fullText.substring(soFar.length()).split("(?<= )")) {
             if (!word.isEmpty()) {
                 events.append("data: {\"choices\":[{\"text\":\"").append(word).append("\"}]}\n\n");
             }
@@ -111,7 +111,7 @@
             deployment.count("streams cut");
             bytes = Arrays.copyOf(bytes, deployment.random().nextInt(bytes.length - "[DONE]\n\n".length()));
         }
-        // A cut stream may look whole to HTTP: a proxy in the engine's VM ends it in good order.
+        // A truncated stream may look whole to HTTP: a proxy in the engine's VM terminates it properly.
         stream(order, bytes, !fails || deployment.random().nextBoolean(), chunks, end);
     }
 
@@ -132,7 +132,7 @@
         Verdict verdict = whole ? RanVerdict.SUCCESS : new MayHaveRunVerdict("reset");
         String body = order.streaming()
                 ? new String(bytes, StandardCharsets.UTF_8)
-                : "{\"choices\":[{\"text\":\"" + story(token(json(order.body()))) + "\"}]}";
+                : "{\"choices\":[{\"text\":\"" + fullText(token(json(order.body()))) + "\"}]}";
         int pieces = sent;
         deployment
                 .timers()
