--- a/library/src/main/java/org/copperspindle/config/BackgroundDeploymentReader.java
+++ b/library/src/main/java/org/copperspindle/config/BackgroundDeploymentReader.java
@@ -8,25 +8,26 @@
 import org.copperspindle.core.BackgroundThread;
 
 /**
- * Reads on one background thread, which ends when it has nothing to do, and reports on the decision ring, in the order
- * of reading. Of the texts that arrive while one is read, only the last is read next, so that a burst of changes costs
- * one more reading and not one for each. The one in progress is reported all the same: were it dropped for each newer
- * one, changes that come faster than they are read would leave none in force, and the lease would run out.
+ * Parses deployments on a single background thread, which exits when idle, and delivers the results on the decision
+ * ring in the order of parsing. Texts that arrive during a parse are coalesced: only the latest is parsed next, so that
+ * a burst of changes costs one more parse instead of one per change. The parse in progress is always delivered: if a
+ * newer text cancelled it, changes that arrive faster than they are parsed would leave no version in force, and the
+ * member's lease would expire.
  */
 public final class BackgroundDeploymentReader implements DeploymentReader {
 
-    /** One task waits at most: while a text waits, a later one takes its place and adds no task. */
-    private static final int MAX_WAITING = 2;
+    /** At most one task is queued: a later text replaces the queued one without adding a task. */
+    private static final int MAX_QUEUED = 2;
 
-    private final AtomicReference<WaitingText> next = new AtomicReference<>();
-    private final Executor thread;
+    private final AtomicReference<PendingText> pending = new AtomicReference<>();
+    private final Executor executor;
     private final Executor ring;
     private final DeploymentReader direct;
 
     /**
      * Creates a reader.
      *
-     * @param ring where results are reported
+     * @param ring executor on which results are delivered
      */
     public BackgroundDeploymentReader(Executor ring) {
         this(ring, DeploymentLoader::parse);
@@ -35,24 +36,24 @@
     BackgroundDeploymentReader(Executor ring, DeploymentParser parser) {
         this.ring = ring;
         this.direct = new DirectDeploymentReader(parser);
-        this.thread = BackgroundThread.create("config-reader", MAX_WAITING);
+        this.executor = BackgroundThread.create("config-reader", MAX_QUEUED);
     }
 
     @Override
-    public void read(long version, String text, Consumer<Optional<Deployment>> whenRead) {
-        if (next.getAndSet(new WaitingText(version, text, whenRead)) == null) {
-            thread.execute(this::readNext);
+    public void read(long version, String text, Consumer<Optional<Deployment>> callback) {
+        if (pending.getAndSet(new PendingText(version, text, callback)) == null) {
+            executor.execute(this::parsePending);
         }
     }
 
-    private void readNext() {
-        WaitingText current = next.getAndSet(null);
+    private void parsePending() {
+        PendingText current = pending.getAndSet(null);
         direct.read(
                 current.version(),
                 current.text(),
-                deployment -> ring.execute(() -> current.whenRead().accept(deployment)));
+                deployment -> ring.execute(() -> current.callback().accept(deployment)));
     }
 
-    /** The newest text handed over that is not being read yet. */
-    private record WaitingText(long version, String text, Consumer<Optional<Deployment>> whenRead) {}
+    /** The latest submitted text that is not being parsed yet. */
+    private record PendingText(long version, String text, Consumer<Optional<Deployment>> callback) {}
 }
--- a/library/src/main/java/org/copperspindle/config/ConfigChange.java
+++ b/library/src/main/java/org/copperspindle/config/ConfigChange.java
@@ -6,16 +6,16 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * A change that was decided, kept so that a resend gets the same answer.
+ * The decision on a proposed configuration change, kept so that a retry gets the same result.
  *
- * @param changeId       its identity
- * @param baseVersion    version that it was made from
- * @param operator       who asked
- * @param digest         SHA-256 of its text
- * @param accepted       whether it was accepted
- * @param version        the version that it made; if refused, the version that stood in its way
- * @param standingBy     if refused, who made that version
- * @param reason         if refused, why
+ * @param changeId            identifier of the change
+ * @param baseVersion         version that the change is based on
+ * @param operator            operator who proposed it
+ * @param digest              SHA-256 of the proposed text
+ * @param accepted            whether it was accepted
+ * @param version             version that it created; if refused, the conflicting version
+ * @param conflictingOperator if refused, operator who created the conflicting version
+ * @param reason              if refused, the reason
  */
 public record ConfigChange(
         String changeId,
@@ -24,7 +24,7 @@
         byte[] digest,
         boolean accepted,
         long version,
-        String standingBy,
+        String conflictingOperator,
         String reason)
         implements WireMessage {
 
@@ -39,7 +39,7 @@
                 .put(4, digest)
                 .put(5, accepted)
                 .put(6, version)
-                .put(7, standingBy)
+                .put(7, conflictingOperator)
                 .put(8, reason);
     }
 
--- a/library/src/main/java/org/copperspindle/config/ConfigHistory.java
+++ b/library/src/main/java/org/copperspindle/config/ConfigHistory.java
@@ -19,18 +19,22 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * The newest configuration and the decided changes, by change id. One winner for each base version; a resend gets its
- * first answer. Bounded: the last {@link #MAX_ACCEPTED} accepted and {@link #MAX_REFUSED} refused changes are known.
+ * The part of the replicated state that holds the newest configuration and the decisions on recent changes, by change
+ * id. Exactly one change is accepted for each base version, and a retried change gets the result of its first decision.
+ * Bounded: the last {@link #MAX_ACCEPTED} accepted and {@link #MAX_REFUSED} refused changes are retained.
  */
 public final class ConfigHistory implements StatePart {
 
-    /** Accepted changes kept; at 4,400 a day the last 44 hours. */
+    /** Accepted changes retained: those of the last 44 hours at 4,400 a day. */
     public static final int MAX_ACCEPTED = 8192;
 
-    /** Refused changes kept; apart from the accepted ones, so that no flood of refusals makes those forgotten. */
+    /**
+     * Refused changes retained. They are bounded separately, so that a flood of refused changes can't evict accepted
+     * ones.
+     */
     public static final int MAX_REFUSED = 1024;
 
-    /** Texts kept to make patches from; members further behind get the whole text. */
+    /** Texts retained as bases of patches; members that are further behind get the whole text. */
     private static final int MAX_TEXTS = 16;
 
     private static final int MAX_TEXT_BYTES = 16 << 20;
@@ -58,9 +62,9 @@
         ApplyConfigCommand apply = (ApplyConfigCommand) command;
         byte[] proposed = ConfigText.bytes(apply.text());
         byte[] digest = ConfigText.digest(proposed);
-        Optional<ControlResult> before = decided(apply, digest);
-        if (before.isPresent()) {
-            return before.get();
+        Optional<ControlResult> earlier = decided(apply, digest);
+        if (earlier.isPresent()) {
+            return earlier.get();
         }
         if (expired(apply.baseVersion())) {
             return new ControlResult.ConfigExpired(accepted.firstKey());
@@ -70,17 +74,18 @@
         }
         version++;
         text = proposed;
-        keepText();
-        keep(new ConfigChange(apply.changeId(), apply.baseVersion(), apply.operator(), digest, true, version, "", ""));
+        retainText();
+        retain(new ConfigChange(
+                apply.changeId(), apply.baseVersion(), apply.operator(), digest, true, version, "", ""));
         return new ControlResult.ConfigAccepted(version);
     }
 
     /**
-     * Finds the first answer to a change that is resent. A decision never changes, so that it may be told by any member
-     * that has applied it.
+     * Finds the first decision on a change that is retried. Decisions are final, so any member that has applied one may
+     * return it.
      *
      * @param apply the change
-     * @return the answer; empty if the change id is not known
+     * @return its result; empty if the change id is unknown
      */
     public Optional<ControlResult> decided(ApplyConfigCommand apply) {
         return decided(apply, ConfigText.digest(ConfigText.bytes(apply.text())));
@@ -105,20 +110,21 @@
     }
 
     /**
-     * Finds the change that made a version.
+     * Finds the change that created a version.
      *
-     * @param wanted the version
-     * @return the change, if it is recent enough
+     * @param requestedVersion the version
+     * @return the change; empty if it is no longer retained
      */
-    public Optional<ConfigChange> change(long wanted) {
-        return Optional.ofNullable(accepted.get(wanted));
+    public Optional<ConfigChange> change(long requestedVersion) {
+        return Optional.ofNullable(accepted.get(requestedVersion));
     }
 
     /**
-     * Makes the patch that brings a member to the newest version. Made once for each pair of versions.
+     * Returns the patch that updates a member to the newest version. It is computed once for each pair of versions and
+     * cached.
      *
      * @param memberVersion version in force at the member, 0 for none
-     * @return the encoded {@link ConfigPatch}; from version 0 if the member's text is no longer kept here
+     * @return the encoded {@link ConfigPatch}; from version 0 if the member's text is no longer retained
      */
     public byte[] patchFrom(long memberVersion) {
         long base = texts.containsKey(memberVersion) ? memberVersion : 0;
@@ -150,52 +156,60 @@
         ConfigSnapshot decoded = ConfigSnapshot.CODEC.decode(snapshot);
         version = decoded.version();
         text = ConfigText.inflate(decoded.text());
-        keepText();
+        retainText();
         for (byte[] change : decoded.changes()) {
-            keep(ConfigChange.CODEC.decode(change));
+            retain(ConfigChange.CODEC.decode(change));
         }
     }
 
     /**
-     * Says whether a change id can no longer be judged. Safeguard: a change accepted so long ago that its id is
-     * forgotten would, resent, be answered as lost to another; its operator would make it a second time. Its base is
-     * then older than every change still known, because a change made from version N made version N + 1.
+     * Returns whether a change is too old to be decided. A retry of an accepted change whose id is no longer retained
+     * would be refused as a conflict, and its operator would apply the change a second time. The base of such a change
+     * is older than every retained change, because a change based on version N creates version N + 1.
      */
     private boolean expired(long baseVersion) {
         return !accepted.isEmpty() && baseVersion + 1 < accepted.firstKey();
     }
 
     private Optional<ControlResult> decided(ApplyConfigCommand apply, byte[] digest) {
-        return Optional.ofNullable(byId.get(apply.changeId())).map(before -> repeat(before, apply, digest));
+        return Optional.ofNullable(byId.get(apply.changeId())).map(earlier -> repeatDecision(earlier, apply, digest));
     }
 
-    private ControlResult repeat(ConfigChange before, ApplyConfigCommand apply, byte[] digest) {
-        boolean same = before.baseVersion() == apply.baseVersion()
-                && before.operator().equals(apply.operator())
-                && Arrays.equals(before.digest(), digest);
+    private ControlResult repeatDecision(ConfigChange earlier, ApplyConfigCommand apply, byte[] digest) {
+        boolean same = earlier.baseVersion() == apply.baseVersion()
+                && earlier.operator().equals(apply.operator())
+                && Arrays.equals(earlier.digest(), digest);
         if (!same) {
             return new ControlResult.ConfigRefused(
-                    before.accepted() ? before.version() : before.baseVersion(),
-                    before.operator(),
-                    "the change id was used by " + before.operator() + " with other content");
+                    earlier.accepted() ? earlier.version() : earlier.baseVersion(),
+                    earlier.operator(),
+                    "the change id was used by " + earlier.operator() + " with other content");
         }
-        return before.accepted()
-                ? new ControlResult.ConfigAccepted(before.version())
-                : new ControlResult.ConfigRefused(before.version(), before.standingBy(), before.reason());
+        return earlier.accepted()
+                ? new ControlResult.ConfigAccepted(earlier.version())
+                : new ControlResult.ConfigRefused(earlier.version(), earlier.conflictingOperator(), earlier.reason());
     }
 
     private ControlResult refuse(ApplyConfigCommand apply, byte[] digest) {
-        long inTheWay = Math.min(apply.baseVersion() + 1, version);
-        String by = change(inTheWay).map(ConfigChange::operator).orElse("");
+        long conflictingVersion = Math.min(apply.baseVersion() + 1, version);
+        String winner = change(conflictingVersion).map(ConfigChange::operator).orElse("");
         String reason = apply.baseVersion() > version
                 ? "made from version " + apply.baseVersion() + ", which does not exist; the newest is " + version
-                : "version " + inTheWay + " by " + by + " was made from version " + apply.baseVersion() + " first";
-        keep(new ConfigChange(
-                apply.changeId(), apply.baseVersion(), apply.operator(), digest, false, inTheWay, by, reason));
-        return new ControlResult.ConfigRefused(inTheWay, by, reason);
-    }
-
-    private void keep(ConfigChange change) {
+                : "version " + conflictingVersion + " by " + winner + " was made from version " + apply.baseVersion()
+                        + " first";
+        retain(new ConfigChange(
+                apply.changeId(),
+                apply.baseVersion(),
+                apply.operator(),
+                digest,
+                false,
+                conflictingVersion,
+                winner,
+                reason));
+        return new ControlResult.ConfigRefused(conflictingVersion, winner, reason);
+    }
+
+    private void retain(ConfigChange change) {
         byId.put(change.changeId(), change);
         if (change.accepted()) {
             accepted.put(change.version(), change);
@@ -210,7 +224,7 @@
         }
     }
 
-    private void keepText() {
+    private void retainText() {
         patches.clear();
         texts.put(version, text);
         long bytes = texts.values().stream().mapToLong(t -> t.length).sum();
--- a/library/src/main/java/org/copperspindle/config/ConfigPatch.java
+++ b/library/src/main/java/org/copperspindle/config/ConfigPatch.java
@@ -10,16 +10,16 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * One version of the configuration text as the difference from another: what both share at their start and end, and the
- * compressed middle. Most changes touch one section, so that a patch is small however long the text is. A patch from
- * version 0 carries the whole text.
+ * A version of the configuration text, encoded as the difference from a base version: the lengths of the common prefix
+ * and suffix, and the compressed bytes between them. Most changes affect one section, so a patch is small however long
+ * the text is. A patch from version 0 carries the whole text.
  *
- * @param baseVersion version that it applies to, 0 for the empty text
- * @param version     version that it makes
- * @param prefix      bytes kept from the start of the base
- * @param suffix      bytes kept from the end of the base
+ * @param baseVersion version that the patch applies to, 0 for the empty text
+ * @param version     resulting version
+ * @param prefix      bytes taken from the start of the base
+ * @param suffix      bytes taken from the end of the base
  * @param middle      bytes between them, compressed
- * @param digest      SHA-256 of the whole text that it makes
+ * @param digest      SHA-256 of the whole resulting text
  */
 public record ConfigPatch(long baseVersion, long version, long prefix, long suffix, byte[] middle, byte[] digest)
         implements WireMessage {
@@ -29,11 +29,11 @@
             MessageCodec.of(84, ConfigPatch.class, ConfigPatch::write, ConfigPatch::read);
 
     /**
-     * Makes a patch.
+     * Creates a patch.
      *
      * @param baseVersion version of the base, 0 for none
      * @param base        its text in UTF-8, empty for none
-     * @param version     version to make
+     * @param version     resulting version
      * @param text        its text in UTF-8
      * @return the patch
      */
@@ -51,11 +51,11 @@
     }
 
     /**
-     * Applies the patch. Safeguard: a base that is not the one meant would give a configuration that nobody accepted;
-     * the digest of the result is checked, and a mismatch gives no text at all.
+     * Applies the patch and verifies the digest of the result. Applied to any other base, a patch would produce a
+     * configuration that nobody accepted, so a mismatch yields no text.
      *
      * @param base text of the base in UTF-8
-     * @return the whole text in UTF-8; empty if the patch does not fit the base
+     * @return the whole text in UTF-8; empty if the patch does not match the base
      */
     public Optional<byte[]> apply(byte[] base) {
         if (prefix < 0 || suffix < 0 || prefix + suffix > base.length) {
@@ -71,10 +71,10 @@
     }
 
     /**
-     * Decodes a text.
+     * Decodes a configuration text.
      *
-     * @param text its UTF-8 form
-     * @return the text
+     * @param text its UTF-8 bytes
+     * @return the decoded text
      */
     public static String string(byte[] text) {
         return new String(text, StandardCharsets.UTF_8);
--- a/library/src/main/java/org/copperspindle/config/ConfigSnapshot.java
+++ b/library/src/main/java/org/copperspindle/config/ConfigSnapshot.java
@@ -10,9 +10,9 @@
 /**
  * Snapshot of a {@link ConfigHistory}.
  *
- * @param version newest version
- * @param text    its text, compressed
- * @param changes encoded {@link ConfigChange}s in the order of their decision
+ * @param version newest accepted version
+ * @param text    compressed text of that version
+ * @param changes encoded {@link ConfigChange}s in the order of the decisions
  */
 record ConfigSnapshot(long version, byte[] text, List<byte[]> changes) implements WireMessage {
 
--- a/library/src/main/java/org/copperspindle/config/ConfigText.java
+++ b/library/src/main/java/org/copperspindle/config/ConfigText.java
@@ -9,14 +9,14 @@
 import java.util.zip.Inflater;
 
 /**
- * Compresses and digests configuration texts.
+ * Encodes, compresses and hashes configuration texts.
  */
 public final class ConfigText {
 
-    /** Longest text that is taken, in bytes; its compressed form fits a frame with room to spare. */
+    /** Maximum length of a text in bytes; its compressed form fits into one frame with a margin. */
     public static final int MAX_BYTES = 4 << 20;
 
-    private static final int BLOCK = 8192;
+    private static final int BUFFER_BYTES = 8192;
 
     private ConfigText() {}
 
@@ -24,7 +24,7 @@
      * Compresses bytes.
      *
      * @param plain the bytes
-     * @return their zlib form
+     * @return the compressed bytes in zlib format
      */
     public static byte[] deflate(byte[] plain) {
         Deflater deflater = new Deflater();
@@ -32,9 +32,9 @@
             deflater.setInput(plain);
             deflater.finish();
             ByteArrayOutputStream out = new ByteArrayOutputStream();
-            byte[] block = new byte[BLOCK];
+            byte[] buffer = new byte[BUFFER_BYTES];
             while (!deflater.finished()) {
-                out.write(block, 0, deflater.deflate(block));
+                out.write(buffer, 0, deflater.deflate(buffer));
             }
             return out.toByteArray();
         } finally {
@@ -43,36 +43,37 @@
     }
 
     /**
-     * Undoes {@link #deflate}.
+     * Decompresses the output of {@link #deflate}.
      *
-     * @param packed the zlib form
-     * @return the bytes
-     * @throws IllegalArgumentException if it is damaged, or longer than {@link #MAX_BYTES} when unpacked
+     * @param compressed bytes in zlib format
+     * @return the decompressed bytes
+     * @throws IllegalArgumentException if the input is corrupt, or its decompressed form exceeds {@link #MAX_BYTES}
      */
-    public static byte[] inflate(byte[] packed) {
+    public static byte[] inflate(byte[] compressed) {
         Inflater inflater = new Inflater();
         try {
-            inflater.setInput(packed);
+            inflater.setInput(compressed);
             ByteArrayOutputStream out = new ByteArrayOutputStream();
-            byte[] block = new byte[BLOCK];
+            byte[] buffer = new byte[BUFFER_BYTES];
             while (!inflater.finished()) {
-                int count = inflater.inflate(block);
-                boolean cutOff = count == 0 && !inflater.finished();
-                if (cutOff || out.size() + count > MAX_BYTES) {
-                    throw new IllegalArgumentException("compressed text is cut off or too long");
+                int count = inflater.inflate(buffer);
+                boolean truncated = count == 0 && !inflater.finished();
+                if (truncated || out.size() + count > MAX_BYTES) {
+                    throw new IllegalArgumentException(
+                            "compressed configuration is truncated or exceeds the maximum length");
                 }
-                out.write(block, 0, count);
+                out.write(buffer, 0, count);
             }
             return out.toByteArray();
         } catch (DataFormatException e) {
-            throw new IllegalArgumentException("compressed text is damaged", e);
+            throw new IllegalArgumentException("compressed configuration is corrupt", e);
         } finally {
             inflater.end();
         }
     }
 
     /**
-     * Digests bytes.
+     * Hashes bytes.
      *
      * @param plain the bytes
      * @return their SHA-256
@@ -81,15 +82,16 @@
         try {
             return MessageDigest.getInstance("SHA-256").digest(plain);
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java platform has SHA-256", e);
+            throw new IllegalStateException(
+                    "SHA-256 is not available, although every Java platform must support it", e);
         }
     }
 
     /**
-     * Returns the bytes of a text.
+     * Encodes a configuration text.
      *
      * @param text the text
-     * @return its UTF-8 form
+     * @return its UTF-8 bytes
      */
     public static byte[] bytes(String text) {
         return text.getBytes(StandardCharsets.UTF_8);
--- a/library/src/main/java/org/copperspindle/config/Deployment.java
+++ b/library/src/main/java/org/copperspindle/config/Deployment.java
@@ -5,10 +5,10 @@
 import java.util.Optional;
 
 /**
- * One whole, checked deployment configuration: what an operator applies in one piece. Immutable.
+ * A complete and validated deployment configuration, which operators apply as a unit. Immutable.
  *
  * @param name              name of the deployment
- * @param failureDomains    failure domains that VMs may name
+ * @param failureDomains    failure domains that VMs may belong to
  * @param attainmentWeight  weight of attainment in routing, from 0 (cost only) to 1 (attainment only)
  * @param accounts          client accounts by name
  * @param pools             pools by name
@@ -22,7 +22,7 @@
         Map<String, PoolSettings> pools,
         Map<String, PipelineSettings> pipelines) {
 
-    /** A deployment without anything in it; in force nowhere. */
+    /** An empty deployment, which is never in force. */
     public static final Deployment EMPTY = new Deployment("", List.of(), 0.5, Map.of(), Map.of(), Map.of());
 
     /**
--- a/library/src/main/java/org/copperspindle/config/DeploymentLoader.java
+++ b/library/src/main/java/org/copperspindle/config/DeploymentLoader.java
@@ -18,14 +18,14 @@
 import org.copperspindle.settings.SettingsSection;
 
 /**
- * The door to deployment files: reads one whole and checks every reference in it, so that nothing half right is ever
+ * Parses deployment files and validates every value and reference in them, so that an invalid configuration is never
  * proposed.
  */
 public final class DeploymentLoader {
 
-    private static final List<String> KINDS =
+    private static final List<String> SECTION_KINDS =
             List.of("deployment", "pool", "pipeline", "stage", "service", "account", "placement", "weight-store");
-    private static final Pattern DIGEST = Pattern.compile("[0-9a-f]{64}");
+    private static final Pattern SHA256_HEX = Pattern.compile("[0-9a-f]{64}");
     private static final Duration DEFAULT_DEADLINE = Duration.ofSeconds(6);
     private static final int MAX_CONCURRENCY = 100_000;
     private static final int MAX_STAGES = 16;
@@ -35,7 +35,7 @@
     private final Map<String, PoolSettings> pools = new LinkedHashMap<>();
     private final Map<String, PipelineSettings> pipelines = new LinkedHashMap<>();
     private final Map<String, AccountSettings> accounts = new LinkedHashMap<>();
-    private final Set<String> digests = new HashSet<>();
+    private final Set<String> keyDigests = new HashSet<>();
     private List<String> failureDomains = List.of();
 
     private DeploymentLoader(SettingsFile file) {
@@ -47,7 +47,7 @@
      *
      * @param path the file
      * @return the checked deployment
-     * @throws SettingsException with every fault found
+     * @throws SettingsException listing every problem found
      */
     public static Deployment load(Path path) throws SettingsException {
         return new DeploymentLoader(SettingsFile.load(path)).read();
@@ -56,10 +56,10 @@
     /**
      * Loads a deployment from text.
      *
-     * @param name name for error messages
+     * @param name name used in error messages
      * @param text the INI text
      * @return the checked deployment
-     * @throws SettingsException with every fault found
+     * @throws SettingsException listing every problem found
      */
     public static Deployment parse(String name, String text) throws SettingsException {
         return new DeploymentLoader(SettingsFile.parse(name, text)).read();
@@ -78,9 +78,9 @@
         file.sections("pipeline").forEach(this::readPipeline);
         file.sections("service").forEach(this::readService);
         file.sections("account").forEach(this::readAccount);
-        checkStagesUsed();
+        checkUnusedStages();
         PlacementLoader.check(file, pools);
-        file.finish(KINDS);
+        file.finish(SECTION_KINDS);
         return new Deployment(
                 name, failureDomains, weight, Map.copyOf(accounts), Map.copyOf(pools), Map.copyOf(pipelines));
     }
@@ -88,7 +88,7 @@
     private void readPool(SettingsSection s) {
         PoolKind kind = s.getEnum("kind", PoolKind.class, Optional.empty());
         List<String> domains = s.getList("failure-domains", "names from [deployment]", Optional.of(failureDomains));
-        checkKnown(s, "failure-domains", domains, failureDomains);
+        checkReferences(s, "failure-domains", domains, failureDomains);
         pools.put(
                 s.subject(),
                 new PoolSettings(
@@ -121,10 +121,10 @@
 
     private StageSettings readStage(SettingsSection s, String stage) {
         String pool = s.getString("pool", "the name of a [pool ...]");
-        checkKnown(s, "pool", List.of(pool), pools.keySet());
+        checkReferences(s, "pool", List.of(pool), pools.keySet());
         String model = s.getString("model", "a model of the pool", "");
         if (!model.isEmpty() && pools.containsKey(pool)) {
-            checkKnown(s, "model", List.of(model), pools.get(pool).models());
+            checkReferences(s, "model", List.of(model), pools.get(pool).models());
         }
         boolean repeatable = s.getBoolean("repeatable", Optional.of(true));
         String path = s.getString("path", "an HTTP path", "");
@@ -134,7 +134,7 @@
 
     private void readService(SettingsSection s) {
         String pool = s.getString("pool", "the name of a [pool ...] of kind service");
-        checkKnown(s, "pool", List.of(pool), pools.keySet());
+        checkReferences(s, "pool", List.of(pool), pools.keySet());
         if (pools.containsKey(pool) && pools.get(pool).kind() != PoolKind.SERVICE) {
             s.reject("pool", "'" + pool + "' is not of kind service", "a pool of plain services");
         }
@@ -155,15 +155,15 @@
 
     private void readAccount(SettingsSection s) {
         String digest = s.getString("key-sha256", "64 lower-case hexadecimal digits");
-        if (!digest.isEmpty() && !DIGEST.matcher(digest).matches()) {
+        if (!digest.isEmpty() && !SHA256_HEX.matcher(digest).matches()) {
             s.reject("key-sha256", "not a digest", "64 lower-case hexadecimal digits");
         }
-        if (!digest.isEmpty() && !digests.add(digest)) {
-            // Requests with this key would count for whichever account was read last.
+        if (!digest.isEmpty() && !keyDigests.add(digest)) {
+            // Requests with a shared key would count for whichever account was parsed last.
             s.reject("key-sha256", "another account has the same key", "a key of its own for each account");
         }
         List<String> allowed = s.getList("pipelines", "pipelines and services", Optional.empty());
-        checkKnown(s, "pipelines", allowed, pipelines.keySet());
+        checkReferences(s, "pipelines", allowed, pipelines.keySet());
         accounts.put(
                 s.subject(),
                 new AccountSettings(
@@ -177,7 +177,7 @@
         s.finish();
     }
 
-    private void checkKnown(SettingsSection s, String key, List<String> names, Collection<String> known) {
+    private void checkReferences(SettingsSection s, String key, List<String> names, Collection<String> known) {
         for (String name : names) {
             if (!name.isEmpty() && !known.contains(name)) {
                 s.reject(key, "unknown name '" + name + "'", "one of " + String.join(", ", known));
@@ -185,7 +185,7 @@
         }
     }
 
-    private void checkStagesUsed() {
+    private void checkUnusedStages() {
         Set<String> used = new HashSet<>();
         for (PipelineSettings pipeline : pipelines.values()) {
             pipeline.stages().forEach(stage -> used.add("stage " + pipeline.name() + "/" + stage.name()));
--- a/library/src/main/java/org/copperspindle/config/DeploymentParser.java
+++ b/library/src/main/java/org/copperspindle/config/DeploymentParser.java
@@ -3,7 +3,7 @@
 import org.copperspindle.settings.SettingsException;
 
 /**
- * Parses and checks the text of a deployment as a whole.
+ * Parses and validates the complete text of a deployment.
  */
 @FunctionalInterface
 interface DeploymentParser {
@@ -11,10 +11,10 @@
     /**
      * Parses a text.
      *
-     * @param name name for error messages
+     * @param name name used in error messages
      * @param text the INI text
      * @return the checked deployment
-     * @throws SettingsException with every fault found
+     * @throws SettingsException listing every problem found
      */
     Deployment parse(String name, String text) throws SettingsException;
 }
--- a/library/src/main/java/org/copperspindle/config/DeploymentReader.java
+++ b/library/src/main/java/org/copperspindle/config/DeploymentReader.java
@@ -4,18 +4,19 @@
 import java.util.function.Consumer;
 
 /**
- * Reads accepted configuration texts for a member. Reading one takes tens of milliseconds at the design size, which no
- * decision thread has to spare between two tokens.
+ * Parses accepted configuration texts for a member. Parsing takes tens of milliseconds at the design size, too long for
+ * a decision thread, which would delay the next token of every stream.
  */
 @FunctionalInterface
 public interface DeploymentReader {
 
     /**
-     * Reads a text. One that still waits when a later one is handed over may be skipped: nothing is told of it.
+     * Parses a text. A text that is still queued when a later one is submitted may be skipped; its callback is then
+     * never called.
      *
      * @param version  its version
      * @param text     the whole INI text
-     * @param whenRead told on the decision thread; empty if the text can't be read
+     * @param callback receives the deployment on the decision thread; empty if the text is invalid
      */
-    void read(long version, String text, Consumer<Optional<Deployment>> whenRead);
+    void read(long version, String text, Consumer<Optional<Deployment>> callback);
 }
--- a/library/src/main/java/org/copperspindle/config/DirectDeploymentReader.java
+++ b/library/src/main/java/org/copperspindle/config/DirectDeploymentReader.java
@@ -8,7 +8,7 @@
 import org.copperspindle.settings.SettingsException;
 
 /**
- * Reads in place, for callers that may wait and for virtual time.
+ * Parses on the calling thread, for callers that may block and for simulations in virtual time.
  */
 public final class DirectDeploymentReader implements DeploymentReader {
 
@@ -16,7 +16,7 @@
 
     private final DeploymentParser parser;
 
-    /** Creates a reader of deployment files. */
+    /** Creates a reader that parses with {@link DeploymentLoader}. */
     public DirectDeploymentReader() {
         this(DeploymentLoader::parse);
     }
@@ -26,16 +26,17 @@
     }
 
     @Override
-    public void read(long version, String text, Consumer<Optional<Deployment>> whenRead) {
-        whenRead.accept(parse(version, text));
+    public void read(long version, String text, Consumer<Optional<Deployment>> callback) {
+        callback.accept(parse(version, text));
     }
 
     private Optional<Deployment> parse(long version, String text) {
         try {
             return Optional.of(parser.parse("version " + version, text));
         } catch (SettingsException | RuntimeException e) {
-            // Control checks before it accepts, so this build is older than the configuration: don't serve it half. The
-            // version is never reported, so that the lease runs out.
+            // Control validates a configuration before it accepts it, so this build must be older than the
+            // configuration and could apply only part of it. The version is never reported as in force, so the lease of
+            // this member expires.
             LOGGER.error("event=config-unreadable version={}", version, e);
             return Optional.empty();
         }
--- a/library/src/main/java/org/copperspindle/config/PoolKind.java
+++ b/library/src/main/java/org/copperspindle/config/PoolKind.java
@@ -1,17 +1,17 @@
 package org.copperspindle.config;
 
 /**
- * What the upstreams of a pool do, and so which interface they are met by.
+ * The function of the upstreams of a pool, which determines the interface used to call them.
  */
 public enum PoolKind {
-    /** Text to embedding. */
+    /** Computes the embedding of a text. */
     ENCODER,
-    /** Embedding to documents. */
+    /** Retrieves documents for an embedding. */
     RETRIEVER,
-    /** Documents to fewer, better ordered documents. */
+    /** Reranks documents and returns the best of them. */
     RERANKER,
-    /** Prompt to generated tokens. */
+    /** Generates tokens from a prompt. */
     ENGINE,
-    /** Plain HTTP service, passed through. */
+    /** Plain HTTP service; requests are passed through. */
     SERVICE
 }
--- a/library/src/main/java/org/copperspindle/config/PoolSettings.java
+++ b/library/src/main/java/org/copperspindle/config/PoolSettings.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * A pool of like upstreams.
+ * Settings of a pool of equivalent upstreams.
  *
  * @param name           its name
- * @param kind           what its upstreams do
- * @param size           upstreams that the operators plan for
- * @param failureDomains failure domains that it spreads over
+ * @param kind           function of its upstreams
+ * @param size           planned number of upstreams
+ * @param failureDomains failure domains over which its upstreams are distributed
  * @param models         models that its upstreams serve; empty for plain services
- * @param concurrency    attempts that one upstream runs at once
- * @param costPerSecond  cost of one upstream's busy second, in the operators' unit
- * @param checksFencing  whether its upstreams refuse orders with an old fencing number themselves
+ * @param concurrency    concurrent attempts per upstream
+ * @param costPerSecond  cost of one busy second of an upstream, in the operators' unit
+ * @param checksFencing  whether its upstreams themselves reject orders with an outdated fencing number
  * @param reportsLoad    whether its upstreams report their load
  */
 public record PoolSettings(
--- a/library/src/main/java/org/copperspindle/config/Priority.java
+++ b/library/src/main/java/org/copperspindle/config/Priority.java
@@ -1,13 +1,13 @@
 package org.copperspindle.config;
 
 /**
- * How urgent a request is; a smaller ordinal is served first.
+ * Urgency of a request; smaller ordinals are served first.
  */
 public enum Priority {
-    /** A person waits, for example a class in front of the lesson viewer. */
+    /** A user is waiting in a live setting, for example a class in front of the lesson viewer. */
     INTERACTIVE,
-    /** A person waits, but not in front of others. */
+    /** A user is waiting, but not in a live setting. */
     STANDARD,
-    /** Nobody waits; shed first under overload. */
+    /** No user is waiting; shed first under overload. */
     BATCH
 }
--- a/library/src/main/java/org/copperspindle/config/package-info.java
+++ b/library/src/main/java/org/copperspindle/config/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Deployment configuration: parsed and checked as a whole, applied as a whole, versioned, never reverted.
+ * Deployment configuration: validated and applied as a unit, versioned, and never reverted.
  */
 package org.copperspindle.config;
--- a/library/src/test/java/org/copperspindle/config/BackgroundDeploymentReaderTest.java
+++ b/library/src/test/java/org/copperspindle/config/BackgroundDeploymentReaderTest.java
@@ -21,11 +21,11 @@
 @Timeout(20)
 class BackgroundDeploymentReaderTest {
 
-    private static final String BAD = "bad";
+    private static final String UNREADABLE = "bad";
 
     private final DecisionRing ring = new DecisionRing("reader-test", 256);
-    private final BlockingQueue<String> begun = new LinkedBlockingQueue<>();
-    private final Semaphore held = new Semaphore(0);
+    private final BlockingQueue<String> started = new LinkedBlockingQueue<>();
+    private final Semaphore parsePermits = new Semaphore(0);
     private final List<String> reported = new CopyOnWriteArrayList<>();
     private final DeploymentReader reader = new BackgroundDeploymentReader(ring, this::parse);
 
@@ -35,13 +35,13 @@
     }
 
     /**
-     * A large text is being read when a request arrives. The caller would see a gap between tokens, or a missed
-     * deadline, if the ring waited for the reader. The reader is held here for as long as the ring works.
+     * A request arrives while a large text is being parsed. If the ring waited for the parser, the caller would see a
+     * gap between tokens or miss its deadline. The parser blocks here for as long as the ring works.
      */
     @Test
-    void ringGoesOnWhileTextIsRead() throws InterruptedException {
+    void ringIsNotBlockedByParsing() throws InterruptedException {
         ring.execute(() -> read(1, "one"));
-        assertThat(begun.take()).isEqualTo("version 1");
+        assertThat(started.take()).isEqualTo("version 1");
 
         CountDownLatch served = new CountDownLatch(100);
         for (int i = 0; i < 100; i++) {
@@ -50,40 +50,41 @@
         served.await();
 
         assertThat(reported).isEmpty();
-        held.release();
+        parsePermits.release();
         awaitReports(1);
         assertThat(reported).containsExactly("1 one reader-test");
     }
 
     /**
-     * Versions 2 to 4 arrive while 1 is read. Only the newest of them may cost a second reading, or a burst of changes
-     * would keep a member behind for minutes; and 1 is reported, or a steady stream of changes would leave none in force.
+     * Versions 2 to 4 arrive while version 1 is parsed. Only the newest of them may cost a second parse, or a burst of
+     * changes would keep a member behind for minutes. Version 1 is still reported, or a steady stream of changes would
+     * leave no version in force.
      */
     @Test
-    void newestOfThoseThatWaitIsReadNext() throws InterruptedException {
+    void onlyLatestQueuedTextIsParsed() throws InterruptedException {
         ring.execute(() -> read(1, "one"));
-        begun.take();
-        CountDownLatch handedOver = new CountDownLatch(1);
+        started.take();
+        CountDownLatch submitted = new CountDownLatch(1);
         ring.execute(() -> {
             read(2, "two");
             read(3, "three");
             read(4, "four");
-            handedOver.countDown();
+            submitted.countDown();
         });
-        handedOver.await();
+        submitted.await();
 
-        held.release(4);
+        parsePermits.release(4);
         awaitReports(2);
 
         assertThat(reported).containsExactly("1 one reader-test", "4 four reader-test");
-        assertThat(begun).containsExactly("version 4");
+        assertThat(started).containsExactly("version 4");
     }
 
-    /** A text that an older build can't read is reported as such, and the thread goes on to the next one. */
+    /** A text that an older build can't parse is reported as unreadable, and the next text is parsed as usual. */
     @Test
-    void unreadableTextEndsNothing() throws InterruptedException {
-        held.release(2);
-        ring.execute(() -> read(1, BAD));
+    void unreadableTextDoesNotStopTheReader() throws InterruptedException {
+        parsePermits.release(2);
+        ring.execute(() -> read(1, UNREADABLE));
         awaitReports(1);
         ring.execute(() -> read(2, "two"));
         awaitReports(2);
@@ -101,9 +102,9 @@
     }
 
     private Deployment parse(String name, String text) throws SettingsException {
-        begun.add(name);
-        held.acquireUninterruptibly();
-        if (text.equals(BAD)) {
+        started.add(name);
+        parsePermits.acquireUninterruptibly();
+        if (text.equals(UNREADABLE)) {
             throw new SettingsException(List.of(new SettingsProblem(name, "", "", "unknown section", "")));
         }
         return new Deployment(
--- a/library/src/test/java/org/copperspindle/config/DeploymentChecksTest.java
+++ b/library/src/test/java/org/copperspindle/config/DeploymentChecksTest.java
@@ -9,11 +9,11 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 /**
- * A deployment file with one thing wrong is refused whole, and the fault is named.
+ * A deployment file with a single error is rejected as a whole, and the message names the error.
  */
 class DeploymentChecksTest {
 
-    private static final String RIGHT = """
+    private static final String VALID = """
             [deployment]
             name = sample
             failure-domains = north
@@ -42,8 +42,8 @@
             """.formatted("a".repeat(64), "b".repeat(64));
 
     @Test
-    void rightFileIsRead() {
-        assertThatCode(() -> DeploymentLoader.parse("sample", RIGHT)).doesNotThrowAnyException();
+    void validFileIsAccepted() {
+        assertThatCode(() -> DeploymentLoader.parse("sample", VALID)).doesNotThrowAnyException();
     }
 
     @ParameterizedTest
@@ -61,16 +61,16 @@
                 "[service install] | [service tag] | taken by another",
                 "failure-domains = north | failure-domains = | failure-domains"
             })
-    void faultIsNamed(String right, String wrong, String named) {
-        assertThatThrownBy(() -> DeploymentLoader.parse("sample", RIGHT.replace(right, wrong)))
+    void errorIsReported(String valid, String invalid, String message) {
+        assertThatThrownBy(() -> DeploymentLoader.parse("sample", VALID.replace(valid, invalid)))
                 .isInstanceOf(SettingsException.class)
-                .hasMessageContaining(named);
+                .hasMessageContaining(message);
     }
 
-    /** Two accounts with one key: a request would count for either, as chance has it. */
+    /** If two accounts had the same key, its requests would count for an arbitrary one of them. */
     @Test
-    void sharedKeyIsRefused() {
-        assertThatThrownBy(() -> DeploymentLoader.parse("sample", RIGHT.replace("b".repeat(64), "a".repeat(64))))
+    void sharedKeyIsRejected() {
+        assertThatThrownBy(() -> DeploymentLoader.parse("sample", VALID.replace("b".repeat(64), "a".repeat(64))))
                 .isInstanceOf(SettingsException.class)
                 .hasMessageContaining("another account has the same key");
     }
