--- a/library/src/main/java/org/copperspindle/fleet/CloseOrderCommand.java
+++ b/library/src/main/java/org/copperspindle/fleet/CloseOrderCommand.java
@@ -6,12 +6,12 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * Records how an order ended.
+ * Records the outcome of an order and closes it.
  *
  * @param upstreamId upstream of the order
- * @param sequence sequence of the order
- * @param outcome how it ended
- * @param reason why, for operators
+ * @param sequence sequence number of the order
+ * @param outcome its outcome
+ * @param reason reason of the outcome, for operators
  */
 public record CloseOrderCommand(String upstreamId, long sequence, OrderOutcome outcome, String reason)
         implements WireMessage {
--- a/library/src/main/java/org/copperspindle/fleet/EngineOrderClient.java
+++ b/library/src/main/java/org/copperspindle/fleet/EngineOrderClient.java
@@ -3,18 +3,18 @@
 import java.util.function.Consumer;
 
 /**
- * Carries calls to the engine beside an agent.
+ * Sends HTTP calls to the engine of an agent.
  */
 public interface EngineOrderClient {
 
-    /** Status given to the callback when there was no whole answer. */
+    /** Status passed to the callback when no complete response was received. */
     int NO_ANSWER = 0;
 
     /**
      * Sends a call.
      *
      * @param request  the call
-     * @param callback told the HTTP status, or {@link #NO_ANSWER}, once, on the decision ring
+     * @param callback receives the HTTP status, or {@link #NO_ANSWER}, exactly once, on the decision ring
      */
     void send(EngineRequest request, Consumer<Integer> callback);
 }
--- a/library/src/main/java/org/copperspindle/fleet/EngineRequest.java
+++ b/library/src/main/java/org/copperspindle/fleet/EngineRequest.java
@@ -6,21 +6,22 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /**
- * The HTTP call to an engine that carries an order out. Adapters go by the interface usual among engines, the rest by a
- * plain one; each body carries {@code order_id} and {@code fencing_number}.
+ * The HTTP call by which an engine executes an order. Calls for adapters use the interface that is common among
+ * engines, other calls use a simple one of this project. Each body contains {@code order_id} and
+ * {@code fencing_number}.
  *
  * @param path           HTTP path, called with POST
  * @param body           JSON body
  * @param orderId        identity of the order, sent as {@code Idempotency-Key}
- * @param fencingNumber  number for engines that refuse old ones, also sent as {@link #FENCING_HEADER}
+ * @param fencingNumber  fencing number, for engines that reject outdated ones; also sent as {@link #FENCING_HEADER}
  */
 public record EngineRequest(String path, byte[] body, String orderId, long fencingNumber) {
 
-    /** Header field that carries the fencing number. */
+    /** Header that carries the fencing number. */
     public static final String FENCING_HEADER = "Copperspindle-Fencing-Number";
 
     /**
-     * Words the call for an order.
+     * Creates the call for an order.
      *
      * @param order the order
      * @return the call
@@ -28,8 +29,8 @@
     public static EngineRequest of(OrderMessage order) {
         ObjectNode body = JsonNodeFactory.instance.objectNode();
         String path = switch (order.kind()) {
-            case LOAD_MODEL -> model(body, order.subject(), "/admin/load");
-            case UNLOAD_MODEL -> model(body, order.subject(), "/admin/unload");
+            case LOAD_MODEL -> modelPath(body, order.subject(), "/admin/load");
+            case UNLOAD_MODEL -> modelPath(body, order.subject(), "/admin/unload");
             case LOAD_ADAPTER -> {
                 body.put("lora_name", order.subject());
                 body.put("lora_path", order.weightsPath() + "/" + order.subject());
@@ -53,7 +54,7 @@
         return new EngineRequest(path, bytes, order.orderId(), order.sequence());
     }
 
-    private static String model(ObjectNode body, String subject, String path) {
+    private static String modelPath(ObjectNode body, String subject, String path) {
         ModelName name = ModelName.parse(subject);
         body.put("model", name.base());
         name.version().ifPresent(version -> body.put("version", version));
--- a/library/src/main/java/org/copperspindle/fleet/FenceCommand.java
+++ b/library/src/main/java/org/copperspindle/fleet/FenceCommand.java
@@ -6,10 +6,10 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * Makes every order that was committed before it void at a restarted agent.
+ * Invalidates every order that was committed before this command at an agent that has restarted.
  *
  * @param upstreamId the upstream
- * @param incarnation life of its agent
+ * @param incarnation incarnation of its agent
  */
 public record FenceCommand(String upstreamId, long incarnation) implements WireMessage {
 
--- a/library/src/main/java/org/copperspindle/fleet/FenceQueryMessage.java
+++ b/library/src/main/java/org/copperspindle/fleet/FenceQueryMessage.java
@@ -6,10 +6,10 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * Asks the leader from which number on orders may be passed. Sent by an agent that has just started.
+ * Asks the leader for the fencing number that orders must exceed. Sent by an agent that has just started.
  *
- * @param upstreamId its upstream
- * @param incarnation its life
+ * @param upstreamId upstream of the agent
+ * @param incarnation incarnation of the agent
  */
 public record FenceQueryMessage(String upstreamId, long incarnation) implements WireMessage {
 
--- a/library/src/main/java/org/copperspindle/fleet/FenceReplyMessage.java
+++ b/library/src/main/java/org/copperspindle/fleet/FenceReplyMessage.java
@@ -6,12 +6,12 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * Answers a {@link FenceQueryMessage}, once the question is committed in the log.
+ * Response to a {@link FenceQueryMessage}, sent once the query is committed in the log.
  *
  * @param upstreamId the upstream
- * @param incarnation life of the agent that asked
+ * @param incarnation incarnation of the agent that sent the query
  * @param term term of the leader
- * @param sequence every order with this number or a lower one is void
+ * @param sequence orders with this number or a lower one are invalid
  */
 public record FenceReplyMessage(String upstreamId, long incarnation, long term, long sequence) implements WireMessage {
 
--- a/library/src/main/java/org/copperspindle/fleet/FencingGuard.java
+++ b/library/src/main/java/org/copperspindle/fleet/FencingGuard.java
@@ -5,10 +5,10 @@
 import java.util.Optional;
 
 /**
- * Decides at an agent which orders reach its engine. Pure; runs on the agent's decision ring.
+ * Decides at an agent which orders are forwarded to its engine. Performs no I/O; runs on the agent's decision ring.
  *
- * <p>Numbers are pairs of the leader's term and the order's index in the log. Both only grow, so an order that is not
- * above everything seen is one of a leader that was replaced, a late one, or a copy.
+ * <p>A fencing number consists of the leader's term and the order's index in the log. Both only increase, so an order
+ * that does not exceed everything seen so far comes from a replaced leader, is delayed, or is a duplicate.
  */
 public final class FencingGuard {
 
@@ -20,14 +20,14 @@
     private long highestTerm;
     private long highestSequence;
     private boolean confirmed;
-    private boolean engineChecks;
+    private boolean engineChecksFencing;
     private Optional<OrderMessage> running = Optional.empty();
 
     /**
      * Creates the guard of an agent that has just started.
      *
-     * @param upstreamId  its upstream
-     * @param incarnation its life
+     * @param upstreamId  upstream of the agent
+     * @param incarnation incarnation of the agent
      */
     public FencingGuard(String upstreamId, long incarnation) {
         this.upstreamId = upstreamId;
@@ -35,51 +35,51 @@
     }
 
     /**
-     * Says whether the engine refuses old numbers itself.
+     * Sets whether the engine itself rejects outdated fencing numbers.
      *
-     * @param checks what the pool's settings say
+     * @param checks value from the pool's settings
      */
-    public void engineChecks(boolean checks) {
-        engineChecks = checks;
+    public void engineChecksFencing(boolean checks) {
+        engineChecksFencing = checks;
     }
 
     /**
-     * Says whether the current number is known, so that orders can be passed.
+     * Returns whether the current fencing number is known, so that orders can be forwarded.
      *
-     * @return false after a start until the leader has answered
+     * @return false after a start until the leader has replied
      */
     public boolean confirmed() {
         return confirmed;
     }
 
     /**
-     * Takes the term of a leader that has just prolonged this agent's lease.
+     * Records the term of a leader that has just renewed this agent's lease.
      *
-     * @param term its term
+     * @param term term of the leader
      */
-    public void raise(long term) {
+    public void raiseTerm(long term) {
         highestTerm = Math.max(highestTerm, term);
     }
 
     /**
-     * Takes the current number.
+     * Records the current fencing number.
      *
-     * @param reply the leader's answer; one to another life changes nothing
+     * @param reply the leader's reply; a reply to another incarnation is ignored
      */
     public void confirm(FenceReplyMessage reply) {
         if (!reply.upstreamId().equals(upstreamId) || reply.incarnation() != incarnation) {
             return;
         }
         confirmed = true;
-        raise(reply.term());
+        raiseTerm(reply.term());
         highestSequence = Math.max(highestSequence, reply.sequence());
     }
 
     /**
-     * Decides about an order. Passing one makes it the running one.
+     * Decides whether an order is forwarded. A forwarded order becomes the running one.
      *
      * @param order the order
-     * @return what to do with it
+     * @return how to handle it
      */
     public FencingVerdict check(OrderMessage order) {
         if (!order.upstreamId().equals(upstreamId) || order.agentIncarnation() != incarnation) {
@@ -92,25 +92,26 @@
         if (report != null) {
             return new FencingVerdict.Repeat(report);
         }
-        // A leader that was cut off may wake with orders in its queue. The lease that this agent holds from the next
-        // leader, or an order of it, has raised the term; without this check an engine that ignores numbers would
-        // load or drop what nobody wants any more.
+        // A leader that was isolated may resume with orders in its queue. By then the lease that this agent holds from
+        // the next leader, or an order from that leader, has raised the term. Without this check an engine that ignores
+        // fencing numbers would load or unload models by outdated orders.
         if (order.term() < highestTerm || order.sequence() <= highestSequence) {
             return new FencingVerdict.Refuse("old-number");
         }
-        // From here on its number counts as seen, so that a copy of it can't be passed after a refusal either.
+        // Records the number before the checks below, so that a duplicate of a refused order can't be forwarded later.
         highestTerm = order.term();
         highestSequence = order.sequence();
-        if (!confirmed && !engineChecks) {
-            // What the life before this one had seen is forgotten: any number could be an old one.
+        if (!confirmed && !engineChecksFencing) {
+            // The numbers that the previous incarnation saw are lost, so any number could be outdated.
             return new FencingVerdict.Refuse("number-not-confirmed");
         }
-        if (running.isPresent() && !sameWork(running.get(), order)) {
+        if (running.isPresent() && !isSameOperation(running.get(), order)) {
             return new FencingVerdict.Refuse("busy");
         }
         if (running.isPresent()) {
-            // The next leader gives an order again that it knows to be open. To refuse it would tell that leader that
-            // the work is not under way; so its report will be the one of the work that runs.
+            // A new leader reissues the orders that it knows to be open. Refusing such an order would tell the leader
+            // that the operation is not in progress. The reissued order takes the place of the running one instead, and
+            // is the one that gets reported.
             running = Optional.of(order);
             return new FencingVerdict.Running();
         }
@@ -119,29 +120,30 @@
     }
 
     /**
-     * Returns the order that is being carried out, under its newest number.
+     * Returns the order in progress, under its newest fencing number.
      *
-     * @return the order
+     * @return the order, empty if none is in progress
      */
     public Optional<OrderMessage> running() {
         return running;
     }
 
     /**
-     * Keeps the report of an order, to answer copies with it.
+     * Records the report of a completed order, with which duplicates are answered.
      *
      * @param report the report
      */
-    public void ended(OrderReportMessage report) {
+    public void recordReport(OrderReportMessage report) {
         running = running.filter(r -> r.sequence() != report.sequence());
         reports.put(report.sequence(), report);
         if (reports.size() > MAX_REPORTS) {
-            // Copies of a forgotten one are refused: its number is not above the highest seen.
+            // Duplicates of an order without a retained report are refused, since its number does not exceed the
+            // highest seen.
             reports.remove(reports.keySet().iterator().next());
         }
     }
 
-    private static boolean sameWork(OrderMessage one, OrderMessage other) {
+    private static boolean isSameOperation(OrderMessage one, OrderMessage other) {
         return one.kind() == other.kind() && one.subject().equals(other.subject());
     }
 }
--- a/library/src/main/java/org/copperspindle/fleet/FencingVerdict.java
+++ b/library/src/main/java/org/copperspindle/fleet/FencingVerdict.java
@@ -1,27 +1,27 @@
 package org.copperspindle.fleet;
 
 /**
- * What the agent does with an order.
+ * How an agent handles an order.
  */
 public sealed interface FencingVerdict {
 
-    /** It goes to the engine. */
+    /** The order is forwarded to the engine. */
     record Pass() implements FencingVerdict {}
 
-    /** It is a copy of one that is being carried out: nothing happens. */
+    /** The order is a duplicate of the one in progress and is ignored. */
     record Running() implements FencingVerdict {}
 
     /**
-     * It is a copy of one that has ended: the report is sent again.
+     * The order is a duplicate of a completed one, whose report is sent again.
      *
      * @param report the report
      */
     record Repeat(OrderReportMessage report) implements FencingVerdict {}
 
     /**
-     * It is refused, now and for every copy.
+     * The order is refused, and so are all its duplicates.
      *
-     * @param reason why
+     * @param reason reason of the refusal
      */
     record Refuse(String reason) implements FencingVerdict {}
 }
--- a/library/src/main/java/org/copperspindle/fleet/FleetAction.java
+++ b/library/src/main/java/org/copperspindle/fleet/FleetAction.java
@@ -1,24 +1,24 @@
 package org.copperspindle.fleet;
 
 /**
- * What the planner wants done.
+ * An action that the planner requests.
  */
 public sealed interface FleetAction {
 
     /**
      * Commit and send an order.
      *
-     * @param upstreamId upstream that is meant
-     * @param kind       what to do
+     * @param upstreamId target upstream
+     * @param kind       operation
      * @param subject    model or adapter
      */
     record Place(String upstreamId, OrderKind kind, String subject) implements FleetAction {}
 
     /**
-     * Give an order up.
+     * Abandon an order.
      *
      * @param order  the order
-     * @param reason why
+     * @param reason reason for abandoning it
      */
     record Withdraw(OpenOrder order, String reason) implements FleetAction {}
 }
--- a/library/src/main/java/org/copperspindle/fleet/FleetPlan.java
+++ b/library/src/main/java/org/copperspindle/fleet/FleetPlan.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * Wanted placement of the fleet, from one configuration version.
+ * Desired placement of the fleet according to one configuration version.
  *
- * @param weightStore what the weight store bears
- * @param pools       pools that are placed by control; others are left as their upstreams announce them
+ * @param weightStore load limits of the weight store
+ * @param pools       pools whose placement is managed by control; other pools keep what their upstreams announce
  */
 public record FleetPlan(WeightStoreSettings weightStore, List<PlacementSettings> pools) {
 
-    /** Places nothing. */
+    /** A plan that manages no pool. */
     public static final FleetPlan EMPTY = new FleetPlan(WeightStoreSettings.DEFAULT, List.of());
 }
--- a/library/src/main/java/org/copperspindle/fleet/FleetPlanner.java
+++ b/library/src/main/java/org/copperspindle/fleet/FleetPlanner.java
@@ -11,132 +11,140 @@
 import org.copperspindle.membership.UpstreamAnnouncement;
 
 /**
- * Decides which orders bring the fleet from the placement that is seen to the one that is wanted. Pure: the leader
- * makes one for its term, from the replicated state and the announcements; nothing of it has to survive.
+ * Plans the orders that bring the fleet from the observed placement to the desired one. Performs no I/O. Each leader
+ * creates a planner for its term from the replicated state and the announcements, so the state of a planner need not
+ * survive a change of leader.
  */
 public final class FleetPlanner {
 
-    /** How long an ended order counts as done before the announcement shows it. */
-    private static final long SETTLE_NANOS = 10_000_000_000L;
+    /** How long the effect of a completed order is assumed before the announcement shows it. */
+    private static final long EFFECT_TIMEOUT_NANOS = 10_000_000_000L;
 
-    private final WeightBudget budget;
+    private final LoadTokenBucket loadTokens;
     private final LoadBackoff backoff = new LoadBackoff();
-    private final Map<String, FleetAction.Place> placing = new HashMap<>();
+    private final Map<String, FleetAction.Place> proposed = new HashMap<>();
     private final Map<String, Long> openSince = new HashMap<>();
-    private final Map<String, Settling> settling = new HashMap<>();
+    private final Map<String, PendingEffect> pendingEffects = new HashMap<>();
     private FleetPlan plan = FleetPlan.EMPTY;
-    private int loading;
+    private int loadsInProgress;
 
     /**
-     * Creates the planner of a leader that has just begun its term.
+     * Creates the planner of a leader whose term has just begun.
      *
      * @param now monotonic time in nanoseconds
      */
     public FleetPlanner(long now) {
-        this.budget = new WeightBudget(now);
+        this.loadTokens = new LoadTokenBucket(now);
     }
 
     /**
-     * Takes the wanted placement.
+     * Sets the desired placement.
      *
-     * @param newest the plan of the newest configuration
+     * @param newest plan of the newest configuration
      */
     public void onPlan(FleetPlan newest) {
         plan = newest;
-        budget.settings(newest.weightStore());
+        loadTokens.settings(newest.weightStore());
     }
 
     /**
-     * Notes that a wanted order is committed, or will never be.
+     * Records that a planned order has been committed, or will never be.
      *
      * @param upstreamId upstream of the order
      */
     public void onProposed(String upstreamId) {
-        placing.remove(upstreamId);
+        proposed.remove(upstreamId);
     }
 
     /**
-     * Notes how an order ended.
+     * Records the outcome of an order.
      *
      * @param order   the order
-     * @param outcome how it ended
+     * @param outcome its outcome
      * @param now     monotonic time in nanoseconds
      */
     public void onEnded(OpenOrder order, OrderOutcome outcome, long now) {
         if (outcome == OrderOutcome.DONE) {
             backoff.succeeded(order.upstreamId(), order.subject());
-            settling.put(order.upstreamId(), new Settling(order.kind().loads(), order.subject(), now + SETTLE_NANOS));
+            pendingEffects.put(
+                    order.upstreamId(),
+                    new PendingEffect(order.kind().loads(), order.subject(), now + EFFECT_TIMEOUT_NANOS));
         } else {
             backoff.failed(order.upstreamId(), order.subject(), now);
         }
     }
 
     /**
-     * Plans.
+     * Plans the next actions.
      *
-     * @param seen upstreams as announced, by identity
+     * @param announced announced upstreams, by upstream id
      * @param open open orders, by upstream
      * @param now  monotonic time in nanoseconds
-     * @return what to do now
+     * @return the actions to perform now
      */
-    public List<FleetAction> plan(Map<String, UpstreamAnnouncement> seen, Map<String, OpenOrder> open, long now) {
-        forget(seen, open, now);
+    public List<FleetAction> plan(Map<String, UpstreamAnnouncement> announced, Map<String, OpenOrder> open, long now) {
+        removeStale(announced, open, now);
         List<FleetAction> actions = new ArrayList<>();
-        Map<String, OpenOrder> kept = new HashMap<>(open);
+        Map<String, OpenOrder> remaining = new HashMap<>(open);
         for (OpenOrder order : open.values()) {
-            expiry(order, seen, now).ifPresent(reason -> {
-                kept.remove(order.upstreamId());
+            withdrawalReason(order, announced, now).ifPresent(reason -> {
+                remaining.remove(order.upstreamId());
                 actions.add(new FleetAction.Withdraw(order, reason));
             });
         }
-        loading = (int) kept.values().stream().filter(o -> o.kind().loads()).count()
-                + (int) placing.values().stream().filter(p -> p.kind().loads()).count();
+        loadsInProgress = (int) remaining.values().stream()
+                        .filter(o -> o.kind().loads())
+                        .count()
+                + (int) proposed.values().stream().filter(p -> p.kind().loads()).count();
         Map<String, List<UpstreamAnnouncement>> byPool = new HashMap<>();
-        seen.values().stream()
+        announced.values().stream()
                 .filter(u -> !u.draining())
                 .forEach(u ->
                         byPool.computeIfAbsent(u.pool(), p -> new ArrayList<>()).add(u));
         for (PlacementSettings pool : plan.pools()) {
-            place(view(pool, byPool.getOrDefault(pool.pool(), List.of()), kept), now, actions);
+            placeMissing(view(pool, byPool.getOrDefault(pool.pool(), List.of()), remaining), now, actions);
         }
         return actions;
     }
 
-    private void place(PoolView view, long now, List<FleetAction> actions) {
-        Set<String> stuck = new LinkedHashSet<>();
-        // Without a load that may begin there is nothing to place, and no slot is emptied ahead of time.
-        while (view.mayChangeMore() && mayLoad(now)) {
+    private void placeMissing(PoolView view, long now, List<FleetAction> actions) {
+        Set<String> blocked = new LinkedHashSet<>();
+        // If no load may start now, nothing is placed, and no slot is freed in advance.
+        while (view.mayStartChange() && mayStartLoad(now)) {
             Optional<String> next = view.shortfalls().stream()
-                    .filter(s -> !stuck.contains(s) && backoff.allows(s, now))
+                    .filter(s -> !blocked.contains(s) && backoff.allows(s, now))
                     .findFirst();
             if (next.isEmpty()) {
                 return;
             }
-            Optional<FleetAction.Place> step = step(view, next.get(), now);
-            if (step.isEmpty()) {
-                stuck.add(next.get());
+            Optional<FleetAction.Place> nextAction = nextAction(view, next.get(), now);
+            if (nextAction.isEmpty()) {
+                blocked.add(next.get());
                 continue;
             }
-            placing.put(step.get().upstreamId(), step.get());
-            view.changing(step.get().upstreamId(), step.get().kind(), step.get().subject());
-            actions.add(step.get());
+            proposed.put(nextAction.get().upstreamId(), nextAction.get());
+            view.changing(
+                    nextAction.get().upstreamId(),
+                    nextAction.get().kind(),
+                    nextAction.get().subject());
+            actions.add(nextAction.get());
         }
     }
 
-    private Optional<FleetAction.Place> step(PoolView view, String subject, long now) {
+    private Optional<FleetAction.Place> nextAction(PoolView view, String subject, long now) {
         Optional<String> target = view.loadTarget(subject, id -> backoff.allows(id, subject, now));
         if (target.isEmpty()) {
-            return view.makeRoom(subject, id -> backoff.allows(id, subject, now));
+            return view.freeSlot(subject, id -> backoff.allows(id, subject, now));
         }
-        budget.take();
-        loading++;
+        loadTokens.take();
+        loadsInProgress++;
         boolean adapter = ModelName.parse(subject).adapter().isPresent();
         return Optional.of(
                 new FleetAction.Place(target.get(), adapter ? OrderKind.LOAD_ADAPTER : OrderKind.LOAD_MODEL, subject));
     }
 
-    private boolean mayLoad(long now) {
-        return loading < plan.weightStore().concurrentLoads() && budget.ready(now);
+    private boolean mayStartLoad(long now) {
+        return loadsInProgress < plan.weightStore().concurrentLoads() && loadTokens.hasToken(now);
     }
 
     private PoolView view(PlacementSettings pool, List<UpstreamAnnouncement> upstreams, Map<String, OpenOrder> open) {
@@ -148,34 +156,34 @@
             String id = upstream.upstreamId();
             if (open.containsKey(id)) {
                 view.changing(id, open.get(id).kind(), open.get(id).subject());
-            } else if (placing.containsKey(id)) {
-                view.changing(id, placing.get(id).kind(), placing.get(id).subject());
+            } else if (proposed.containsKey(id)) {
+                view.changing(id, proposed.get(id).kind(), proposed.get(id).subject());
             }
         }
         return view;
     }
 
     private List<String> subjects(UpstreamAnnouncement upstream) {
-        Settling settled = settling.get(upstream.upstreamId());
-        if (settled == null || settled.loaded() == upstream.models().contains(settled.subject())) {
+        PendingEffect effect = pendingEffects.get(upstream.upstreamId());
+        if (effect == null || effect.loaded() == upstream.models().contains(effect.subject())) {
             return upstream.models();
         }
         List<String> subjects = new ArrayList<>(upstream.models());
-        if (settled.loaded()) {
-            subjects.add(settled.subject());
+        if (effect.loaded()) {
+            subjects.add(effect.subject());
         } else {
-            subjects.remove(settled.subject());
+            subjects.remove(effect.subject());
         }
         return subjects;
     }
 
-    private Optional<String> expiry(OpenOrder order, Map<String, UpstreamAnnouncement> seen, long now) {
-        UpstreamAnnouncement upstream = seen.get(order.upstreamId());
+    private Optional<String> withdrawalReason(OpenOrder order, Map<String, UpstreamAnnouncement> announced, long now) {
+        UpstreamAnnouncement upstream = announced.get(order.upstreamId());
         if (upstream == null) {
             return Optional.of("upstream-gone");
         }
-        // An unload that is given up may still be carried out later; counted as serving meanwhile, its copy could make
-        // another one look superfluous, and both would go. It stays open until its end is known.
+        // An abandoned unload may still be executed later. If its copy counted as serving in the meantime, another copy
+        // could look like a surplus, and both would be unloaded. The order stays open until its outcome is known.
         if (order.kind().unloads()) {
             return Optional.empty();
         }
@@ -187,13 +195,13 @@
                 .findFirst();
     }
 
-    private void forget(Map<String, UpstreamAnnouncement> seen, Map<String, OpenOrder> open, long now) {
-        settling.entrySet().removeIf(s -> s.getValue().until() <= now || !seen.containsKey(s.getKey()));
+    private void removeStale(Map<String, UpstreamAnnouncement> announced, Map<String, OpenOrder> open, long now) {
+        pendingEffects.entrySet().removeIf(s -> s.getValue().until() <= now || !announced.containsKey(s.getKey()));
         Set<String> keys = new LinkedHashSet<>();
         open.values().forEach(o -> keys.add(o.upstreamId() + o.sequence()));
         openSince.keySet().retainAll(keys);
     }
 
-    /** An order that has ended and whose effect is not announced yet. */
-    private record Settling(boolean loaded, String subject, long until) {}
+    /** The effect of a completed order that has not been announced yet. */
+    private record PendingEffect(boolean loaded, String subject, long until) {}
 }
--- a/library/src/main/java/org/copperspindle/fleet/FleetService.java
+++ b/library/src/main/java/org/copperspindle/fleet/FleetService.java
@@ -18,14 +18,14 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * The leader's side of orders: commits what the {@link FleetPlanner} wants, sends it, takes the reports. A member that
- * does not lead sends nothing. Runs on the decision ring.
+ * Carries out the actions of the {@link FleetPlanner} on the leader: commits the orders in the log, sends them to the
+ * agents and processes the reports. A member that is not the leader sends nothing. Runs on the decision ring.
  */
 public final class FleetService {
 
     private static final Logger LOGGER = LogManager.getLogger(FleetService.class);
-    private static final long TICK_NANOS = 1_000_000_000L;
-    private static final int TICKS_PER_RESEND = 5;
+    private static final long PLANNING_INTERVAL_NANOS = 1_000_000_000L;
+    private static final int PLANNING_ROUNDS_PER_RESEND = 5;
 
     private final TimerService timers;
     private final ReplicatedLog log;
@@ -36,15 +36,15 @@
     private FleetPlan plan = FleetPlan.EMPTY;
     private long term;
     private long plannedVersion;
-    private long ticks;
+    private long rounds;
 
     /**
      * Creates the service.
      *
-     * @param timers time
-     * @param log    the log
-     * @param state  what the log drives
-     * @param agents finds the connection to an upstream's agent
+     * @param timers timer service
+     * @param log    replicated log
+     * @param state  state to which the log is applied
+     * @param agents returns the connection to an upstream's agent
      */
     public FleetService(
             TimerService timers, ReplicatedLog log, ControlState state, Function<String, Optional<Peer>> agents) {
@@ -54,44 +54,44 @@
         this.agents = agents;
     }
 
-    /** Starts to plan whenever this member leads. */
+    /** Starts periodic planning, which is active while this member is the leader. */
     public void start() {
-        timers.schedule(TICK_NANOS, () -> {
-            tick();
+        timers.schedule(PLANNING_INTERVAL_NANOS, () -> {
+            planRound();
             start();
         });
     }
 
     /**
-     * Takes a message of an agent.
+     * Handles a message from an agent.
      *
-     * @param peer    its connection
+     * @param peer    connection to the agent
      * @param message the message
-     * @return false if it is not about orders
+     * @return false if the message does not concern orders
      */
     public boolean onMessage(Peer peer, WireMessage message) {
         if (message instanceof FenceQueryMessage query) {
-            answer(peer, query);
+            replyToQuery(peer, query);
         } else if (message instanceof OrderReportMessage report) {
-            receive(peer, report);
+            onReport(peer, report);
         } else {
             return false;
         }
         return true;
     }
 
-    private void answer(Peer peer, FenceQueryMessage query) {
-        long asked = log.term();
-        // Safeguard: only a leader with a quorum can commit the question. One that was cut off and still believes that
-        // it leads would otherwise confirm its own old number to an agent whose memory is gone.
+    private void replyToQuery(Peer peer, FenceQueryMessage query) {
+        long queryTerm = log.term();
+        // Only a leader with a quorum can commit the query. A leader that is isolated and unaware of its replacement
+        // would otherwise confirm its outdated number to an agent that has lost its state.
         log.propose(state.encode(new FenceCommand(query.upstreamId(), query.incarnation())), result -> {
-            if (result instanceof ProposalResult.Committed committed && log.leads() && log.term() == asked) {
-                peer.send(new FenceReplyMessage(query.upstreamId(), query.incarnation(), asked, committed.index()));
+            if (result instanceof ProposalResult.Committed committed && log.leads() && log.term() == queryTerm) {
+                peer.send(new FenceReplyMessage(query.upstreamId(), query.incarnation(), queryTerm, committed.index()));
             }
         });
     }
 
-    private void receive(Peer peer, OrderReportMessage report) {
+    private void onReport(Peer peer, OrderReportMessage report) {
         Optional<OpenOrder> order =
                 state.orders().find(report.upstreamId()).filter(o -> o.sequence() == report.sequence());
         if (order.isEmpty()) {
@@ -119,13 +119,13 @@
         });
     }
 
-    private void tick() {
+    private void planRound() {
         if (!leads()) {
             return;
         }
-        readPlan();
-        ticks++;
-        if (ticks % TICKS_PER_RESEND == 0) {
+        updatePlan();
+        rounds++;
+        if (rounds % PLANNING_ROUNDS_PER_RESEND == 0) {
             state.orders().all().values().forEach(this::send);
         }
         List<FleetAction> actions = planner.orElseThrow()
@@ -147,7 +147,7 @@
             closing.clear();
             planner = now == 0 ? Optional.empty() : Optional.of(new FleetPlanner(timers.nanoTime()));
             if (now != 0) {
-                // What the leader before left open is given again under a number that agents take.
+                // Reissues the orders that the previous leader left open, under numbers that agents accept.
                 List.copyOf(state.orders().all().values())
                         .forEach(o -> place(new FleetAction.Place(o.upstreamId(), o.kind(), o.subject())));
             }
@@ -155,7 +155,7 @@
         return now != 0;
     }
 
-    private void readPlan() {
+    private void updatePlan() {
         long newest = state.config().version();
         if (newest == plannedVersion) {
             return;
@@ -165,14 +165,16 @@
             plan = PlacementLoader.parse(state.config().text());
             planner.orElseThrow().onPlan(plan);
         } catch (SettingsException e) {
-            // Checked before it was accepted, so this build is older than the configuration: the last plan stays.
+            // The configuration was validated before it was accepted, so this build must be older than the
+            // configuration. The previous plan stays in effect.
             LOGGER.error("event=placement-unreadable version={}", newest, e);
         }
     }
 
     private void place(FleetAction.Place place) {
-        long given = term;
-        PlaceOrderCommand command = new PlaceOrderCommand(place.upstreamId(), given, place.kind(), place.subject());
+        long proposalTerm = term;
+        PlaceOrderCommand command =
+                new PlaceOrderCommand(place.upstreamId(), proposalTerm, place.kind(), place.subject());
         log.propose(state.encode(command), result -> {
             planner.ifPresent(p -> p.onProposed(place.upstreamId()));
             if (result instanceof ProposalResult.Committed) {
@@ -189,9 +191,10 @@
                 .orElse("");
     }
 
-    /** Sends an order, or again: a copy does nothing at the agent. */
+    /** Sends or resends an order; the agent ignores duplicates. */
     private void send(OpenOrder order) {
-        // A leader that was cut off finds out here: what waited in its queue is dropped, and known to the next leader.
+        // A leader that was isolated and replaced drops its queued orders here. They are committed, so the next leader
+        // knows them.
         if (!log.leads() || log.term() != order.term()) {
             return;
         }
--- a/library/src/main/java/org/copperspindle/fleet/OpenOrder.java
+++ b/library/src/main/java/org/copperspindle/fleet/OpenOrder.java
@@ -6,13 +6,13 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * A committed order whose end is not committed yet.
+ * A committed order whose outcome has not been committed yet.
  *
  * @param upstreamId upstream of the order
- * @param term term in which it was given
- * @param sequence its sequence
- * @param kind what to do
- * @param subject model, adapter, role or request that it is about
+ * @param term term in which it was issued
+ * @param sequence its sequence number
+ * @param kind operation
+ * @param subject model, adapter, role or request that the operation applies to
  */
 public record OpenOrder(String upstreamId, long term, long sequence, OrderKind kind, String subject)
         implements WireMessage {
@@ -22,9 +22,9 @@
             MessageCodec.of(102, OpenOrder.class, OpenOrder::write, OpenOrder::read);
 
     /**
-     * Returns the identity of the order; an order with the same one is a copy.
+     * Returns the identity of the order; orders with the same identity are duplicates.
      *
-     * @return upstream and sequence
+     * @return upstream and sequence number
      */
     public String orderId() {
         return upstreamId + "/" + sequence;
--- a/library/src/main/java/org/copperspindle/fleet/OpenOrders.java
+++ b/library/src/main/java/org/copperspindle/fleet/OpenOrders.java
@@ -16,9 +16,9 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * The orders that may be under way, at most one for each upstream, as a part of the replicated state. An order is
- * committed here before it is sent. So a leader that was cut off can't give a new one, and the next leader knows each
- * one that may still be carried out. Their numbers are indexes of the log and need no counter of their own.
+ * The part of the replicated state that holds the orders in progress, at most one for each upstream. An order is
+ * committed here before it is sent. An isolated leader therefore can't issue new orders, and the next leader knows
+ * every order that may still be executed. Order numbers are indexes of the log and need no counter of their own.
  */
 public final class OpenOrders implements StatePart {
 
@@ -62,7 +62,8 @@
         } else if (command instanceof CloseOrderCommand close) {
             open.computeIfPresent(close.upstreamId(), (id, o) -> o.sequence() == close.sequence() ? null : o);
         } else if (command instanceof FenceCommand fence) {
-            // The restarted agent will refuse it, and what the agent before it did is in its announcement.
+            // The restarted agent will refuse the order, and the effects of its previous incarnation are in its
+            // announcement.
             open.remove(fence.upstreamId());
         }
         return new ControlResult.Done();
@@ -89,7 +90,7 @@
         }
     }
 
-    /** This part of a snapshot. */
+    /** Snapshot of the open orders. */
     private record Snapshot(List<byte[]> orders) implements WireMessage {
 
         private static final MessageCodec<Snapshot> CODEC =
--- a/library/src/main/java/org/copperspindle/fleet/OrderHandler.java
+++ b/library/src/main/java/org/copperspindle/fleet/OrderHandler.java
@@ -11,19 +11,23 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * The agent's side of orders: asks for the current number, passes what its {@link FencingGuard} lets through, reports
- * until the leader has committed the report. Runs on the agent's decision ring.
+ * Executes orders at an agent: requests the current fencing number from the leader, forwards the orders that its
+ * {@link FencingGuard} accepts to the engine, and sends each report until the leader has committed it. Runs on the
+ * agent's decision ring.
  */
 public final class OrderHandler {
 
     private static final Logger LOGGER = LogManager.getLogger(OrderHandler.class);
     private static final long RESEND_NANOS = 1_000_000_000L;
 
-    /** Longest time until entries have heard of a change, and the longest deadline of a request sent just before. */
+    /**
+     * Covers the longest time until entries have received an announcement, and the longest deadline of a request sent
+     * just before.
+     */
     private static final long UNLOAD_GRACE_NANOS = 10_000_000_000L;
 
-    /** What an engine answers that refuses an old number. */
-    private static final int CONFLICT = 409;
+    /** HTTP status by which an engine rejects an outdated fencing number. */
+    private static final int STATUS_CONFLICT = 409;
 
     private final String upstreamId;
     private long incarnation;
@@ -34,19 +38,19 @@
     private FencingGuard guard;
     private final List<String> models;
     private Optional<OrderReportMessage> unacknowledged = Optional.empty();
-    private boolean engineChecks;
+    private boolean engineChecksFencing;
     private boolean stopped;
 
     /**
      * Creates the handler of an agent that has just started.
      *
-     * @param upstreamId    its upstream
-     * @param incarnation   its life
-     * @param models        what the engine serves at start
-     * @param timers        time
-     * @param engine        calls the engine
-     * @param control       sends to the leader; false if there is no connection
-     * @param modelsChanged told when {@link #models()} has changed and must be announced
+     * @param upstreamId    upstream of the agent
+     * @param incarnation   incarnation of the agent
+     * @param models        models and adapters that the engine serves at start
+     * @param timers        timer service
+     * @param engine        client for calls to the engine
+     * @param control       sends a message to the leader; returns false if there is no connection
+     * @param modelsChanged called when {@link #models()} has changed and must be announced
      */
     public OrderHandler(
             String upstreamId,
@@ -66,7 +70,7 @@
         this.guard = new FencingGuard(upstreamId, incarnation);
     }
 
-    /** Starts to ask and to report. */
+    /** Starts sending the fence query and unacknowledged reports periodically. */
     public void start() {
         if (stopped) {
             return;
@@ -78,43 +82,43 @@
         timers.schedule(RESEND_NANOS, this::start);
     }
 
-    /** Stops asking and reporting. */
+    /** Stops the periodic sending. */
     public void stop() {
         stopped = true;
     }
 
     /**
-     * Takes the term of the leader that prolonged the agent's lease.
+     * Records the term of the leader that has renewed the agent's lease.
      *
-     * @param term its term
+     * @param term term of the leader
      */
     public void onTerm(long term) {
-        guard.raise(term);
+        guard.raiseTerm(term);
     }
 
     /**
-     * Goes on as another life. What the old number was good for is void, as after a restart.
+     * Continues as another incarnation. The confirmed fencing number is discarded, as after a restart.
      *
-     * @param raised the new incarnation
+     * @param newIncarnation the new incarnation
      */
-    public void onIncarnation(long raised) {
-        incarnation = raised;
-        guard = new FencingGuard(upstreamId, raised);
-        guard.engineChecks(engineChecks);
+    public void onIncarnation(long newIncarnation) {
+        incarnation = newIncarnation;
+        guard = new FencingGuard(upstreamId, newIncarnation);
+        guard.engineChecksFencing(engineChecksFencing);
     }
 
     /**
-     * Takes what a new configuration says of the pool.
+     * Applies the settings of the pool from a new configuration.
      *
-     * @param checks whether its engines refuse old numbers themselves
+     * @param checks whether its engines themselves reject outdated fencing numbers
      */
     public void onConfiguration(boolean checks) {
-        engineChecks = checks;
-        guard.engineChecks(checks);
+        engineChecksFencing = checks;
+        guard.engineChecksFencing(checks);
     }
 
     /**
-     * Returns what the engine serves.
+     * Returns the models and adapters that the engine serves.
      *
      * @return names of models and adapters
      */
@@ -123,14 +127,14 @@
     }
 
     /**
-     * Takes a message of the leader.
+     * Handles a message from the leader.
      *
      * @param message the message
-     * @return false if it is not about orders
+     * @return false if the message does not concern orders
      */
     public boolean onMessage(WireMessage message) {
         if (message instanceof OrderMessage order) {
-            receive(order);
+            onOrder(order);
         } else if (message instanceof FenceReplyMessage reply) {
             guard.confirm(reply);
         } else if (message instanceof OrderReportAckMessage ack) {
@@ -141,7 +145,7 @@
         return true;
     }
 
-    private void receive(OrderMessage order) {
+    private void onOrder(OrderMessage order) {
         FencingVerdict verdict = guard.check(order);
         if (verdict instanceof FencingVerdict.Repeat repeat) {
             control.test(repeat.report());
@@ -152,7 +156,7 @@
                     order.kind(),
                     order.term(),
                     refuse.reason());
-            end(order, OrderOutcome.REFUSED, refuse.reason());
+            complete(order, OrderOutcome.REFUSED, refuse.reason());
         } else if (verdict instanceof FencingVerdict.Pass) {
             LOGGER.info(
                     "event=order-passed order={} kind={} subject={} term={}",
@@ -160,60 +164,67 @@
                     order.kind(),
                     order.subject(),
                     order.term());
-            carryOut(order);
+            execute(order);
         }
     }
 
-    private void carryOut(OrderMessage order) {
+    private void execute(OrderMessage order) {
         if (order.kind().loads() && models.contains(order.subject())
                 || order.kind().unloads() && !models.contains(order.subject())) {
-            end(order, OrderOutcome.DONE, "nothing to do");
+            complete(order, OrderOutcome.DONE, "nothing to do");
             return;
         }
         if (!order.kind().unloads()) {
-            call(order);
+            callEngine(order);
             return;
         }
-        // Entries route to the model until they have heard that it is gone; requests that they have sent by then
-        // would fail in the engine. So it is announced as gone first, and unloaded once those have ended.
+        // Entries route to the model until they have received the announcement that it is gone, and requests that they
+        // sent before would fail in the engine. The model is therefore announced as gone first, and unloaded once those
+        // requests have ended.
         models.remove(order.subject());
         modelsChanged.run();
-        timers.schedule(UNLOAD_GRACE_NANOS, () -> call(order));
+        timers.schedule(UNLOAD_GRACE_NANOS, () -> callEngine(order));
     }
 
-    private void call(OrderMessage order) {
-        engine.send(EngineRequest.of(order), status -> answered(guard.running().orElse(order), status));
+    private void callEngine(OrderMessage order) {
+        engine.send(
+                EngineRequest.of(order),
+                status -> onEngineResponse(guard.running().orElse(order), status));
     }
 
-    private void answered(OrderMessage order, int status) {
+    private void onEngineResponse(OrderMessage order, int status) {
         if (status >= 200 && status < 300) {
             if (order.kind().loads()) {
                 models.add(order.subject());
                 modelsChanged.run();
             }
-            end(order, OrderOutcome.DONE, "");
-        } else if (status == CONFLICT) {
-            restore(order);
-            end(order, OrderOutcome.REFUSED, "engine-refused-number");
+            complete(order, OrderOutcome.DONE, "");
+        } else if (status == STATUS_CONFLICT) {
+            restoreModel(order);
+            complete(order, OrderOutcome.REFUSED, "engine-refused-number");
         } else {
-            // A model whose unloading failed stays out of the announcement: whether it still serves is not known.
-            end(order, OrderOutcome.FAILED, status == EngineOrderClient.NO_ANSWER ? "no answer" : "status " + status);
+            // A model whose unload failed is not announced again, because it is unknown whether the engine still serves
+            // it.
+            complete(
+                    order,
+                    OrderOutcome.FAILED,
+                    status == EngineOrderClient.NO_ANSWER ? "no answer" : "status " + status);
         }
     }
 
-    private void restore(OrderMessage order) {
+    private void restoreModel(OrderMessage order) {
         if (order.kind().unloads() && !models.contains(order.subject())) {
             models.add(order.subject());
             modelsChanged.run();
         }
     }
 
-    private void end(OrderMessage order, OrderOutcome outcome, String reason) {
+    private void complete(OrderMessage order, OrderOutcome outcome, String reason) {
         OrderReportMessage report =
                 new OrderReportMessage(order.upstreamId(), incarnation, order.sequence(), outcome, reason);
         LOGGER.info("event=order-ended order={} outcome={} reason=\"{}\"", order.orderId(), outcome, reason);
-        guard.ended(report);
-        // The report of the newest order is what the leader waits for; of an older one it has given up.
+        guard.recordReport(report);
+        // The leader waits only for the report of the newest order; it has abandoned older ones.
         if (unacknowledged.map(u -> u.sequence() < report.sequence()).orElse(true)) {
             unacknowledged = Optional.of(report);
         }
--- a/library/src/main/java/org/copperspindle/fleet/OrderKind.java
+++ b/library/src/main/java/org/copperspindle/fleet/OrderKind.java
@@ -1,24 +1,24 @@
 package org.copperspindle.fleet;
 
 /**
- * What an order asks of an engine.
+ * The operation that an order requests from an engine.
  */
 public enum OrderKind {
     /** Load a model. */
     LOAD_MODEL,
-    /** Give the memory of a model free. */
+    /** Unload a model and free its memory. */
     UNLOAD_MODEL,
     /** Load an adapter onto its base model. */
     LOAD_ADAPTER,
-    /** Give the memory of an adapter free. */
+    /** Unload an adapter and free its memory. */
     UNLOAD_ADAPTER,
-    /** Take another role, such as prefill or decode. */
+    /** Change the role of the engine, such as prefill or decode. */
     CHANGE_ROLE,
-    /** Cancel a request that runs. */
+    /** Cancel a running request. */
     CANCEL;
 
     /**
-     * Says whether the order reads from the weight store.
+     * Returns whether the order reads from the weight store.
      *
      * @return true for loads
      */
@@ -27,7 +27,7 @@
     }
 
     /**
-     * Says whether the order takes something out of service.
+     * Returns whether the order takes a model or adapter out of service.
      *
      * @return true for unloads
      */
--- a/library/src/main/java/org/copperspindle/fleet/OrderMessage.java
+++ b/library/src/main/java/org/copperspindle/fleet/OrderMessage.java
@@ -6,15 +6,16 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * Orders an engine, through the agent beside it, to change what it serves. The order is committed in the log before it is sent.
+ * Instructs an engine, through its agent, to change what it serves. The order is committed in the log before it is
+ * sent.
  *
- * @param upstreamId upstream that is meant
- * @param agentIncarnation life of the agent that is meant; another life refuses
- * @param term term of the leader that gave the order
- * @param sequence index of the order's log record; larger for each later order, also across leaders
- * @param kind what to do
- * @param subject model, adapter, role or request that it is about
- * @param weightsPath folder of adapters as the engine sees it
+ * @param upstreamId target upstream
+ * @param agentIncarnation incarnation of the target agent; another incarnation refuses the order
+ * @param term term of the leader that issued the order
+ * @param sequence index of the order's log record; increases with each order, also across leaders
+ * @param kind operation
+ * @param subject model, adapter, role or request that the operation applies to
+ * @param weightsPath directory of adapters on the file system of the engine
  */
 public record OrderMessage(
         String upstreamId,
@@ -31,9 +32,9 @@
             MessageCodec.of(90, OrderMessage.class, OrderMessage::write, OrderMessage::read);
 
     /**
-     * Returns the identity of the order; an order with the same one is a copy.
+     * Returns the identity of the order; orders with the same identity are duplicates.
      *
-     * @return upstream and sequence
+     * @return upstream and sequence number
      */
     public String orderId() {
         return upstreamId + "/" + sequence;
--- a/library/src/main/java/org/copperspindle/fleet/OrderOutcome.java
+++ b/library/src/main/java/org/copperspindle/fleet/OrderOutcome.java
@@ -1,15 +1,17 @@
 package org.copperspindle.fleet;
 
 /**
- * How an order ended.
+ * The outcome of an order.
  */
 public enum OrderOutcome {
-    /** The engine did it. */
+    /** The engine executed the order. */
     DONE,
-    /** The engine tried or may have tried, and did not report success. */
+    /** The engine executed or may have executed the order, and did not report success. */
     FAILED,
-    /** It was not passed to the engine, or the engine refused it by its number; it never will be carried out. */
+    /**
+     * The order was not forwarded to the engine, or the engine rejected its fencing number; it will never be executed.
+     */
     REFUSED,
-    /** A later order took its place, or its upstream is gone. */
+    /** The order was replaced by a later one, or its upstream is gone. */
     WITHDRAWN
 }
--- a/library/src/main/java/org/copperspindle/fleet/OrderReportAckMessage.java
+++ b/library/src/main/java/org/copperspindle/fleet/OrderReportAckMessage.java
@@ -6,10 +6,10 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * Acknowledges a report that is committed.
+ * Acknowledges an {@link OrderReportMessage} once it is committed.
  *
  * @param upstreamId upstream of the order
- * @param sequence sequence of the order
+ * @param sequence sequence number of the order
  */
 public record OrderReportAckMessage(String upstreamId, long sequence) implements WireMessage {
 
--- a/library/src/main/java/org/copperspindle/fleet/OrderReportMessage.java
+++ b/library/src/main/java/org/copperspindle/fleet/OrderReportMessage.java
@@ -6,13 +6,13 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * Tells the leader how an order ended. Sent again until it is acknowledged.
+ * Reports the outcome of an order to the leader. Sent repeatedly until it is acknowledged.
  *
  * @param upstreamId upstream of the order
- * @param incarnation life of the agent
- * @param sequence sequence of the order
- * @param outcome how it ended
- * @param reason why, for operators
+ * @param incarnation incarnation of the agent
+ * @param sequence sequence number of the order
+ * @param outcome its outcome
+ * @param reason reason of the outcome, for operators
  */
 public record OrderReportMessage(
         String upstreamId, long incarnation, long sequence, OrderOutcome outcome, String reason)
--- a/library/src/main/java/org/copperspindle/fleet/PlaceOrderCommand.java
+++ b/library/src/main/java/org/copperspindle/fleet/PlaceOrderCommand.java
@@ -6,12 +6,12 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * Commits an order before it is sent. Takes the place of an order still open at the same upstream.
+ * Commits an order before it is sent. Replaces an order that is still open at the same upstream.
  *
- * @param upstreamId upstream that is meant
+ * @param upstreamId target upstream
  * @param term term of the proposer
- * @param kind what to do
- * @param subject model, adapter, role or request that it is about
+ * @param kind operation
+ * @param subject model, adapter, role or request that the operation applies to
  */
 public record PlaceOrderCommand(String upstreamId, long term, OrderKind kind, String subject) implements WireMessage {
 
--- a/library/src/main/java/org/copperspindle/fleet/PlacementLoader.java
+++ b/library/src/main/java/org/copperspindle/fleet/PlacementLoader.java
@@ -13,11 +13,11 @@
 import org.copperspindle.settings.SettingsSection;
 
 /**
- * Reads {@code [placement POOL]} and {@code [weight-store]} of a deployment file.
+ * Parses the sections {@code [placement POOL]} and {@code [weight-store]} of a deployment file.
  */
 public final class PlacementLoader {
 
-    /** First words of the sections read here. */
+    /** Kinds of the sections that are parsed here. */
     public static final List<String> KINDS = List.of("placement", "weight-store");
 
     private static final int MAX_COPIES = 100_000;
@@ -25,18 +25,18 @@
     private PlacementLoader() {}
 
     /**
-     * Reads the placement from text that was checked before.
+     * Parses the placement from text that has been validated before.
      *
      * @param text the INI text of a deployment
      * @return the plan
-     * @throws SettingsException if it is not INI
+     * @throws SettingsException if the text is not valid INI
      */
     public static FleetPlan parse(String text) throws SettingsException {
         return read(SettingsFile.parse("deployment", text), Optional.empty());
     }
 
     /**
-     * Reads the placement and records faults in the file.
+     * Parses the placement and records problems in the file.
      *
      * @param file  the deployment file
      * @param pools its pools
@@ -52,7 +52,7 @@
         List<PlacementSettings> placements = new ArrayList<>();
         for (SettingsSection section : file.sections("placement")) {
             placements.add(placement(section));
-            pools.ifPresent(known -> references(section, known));
+            pools.ifPresent(knownPools -> checkReferences(section, knownPools));
         }
         return new FleetPlan(store, List.copyOf(placements));
     }
@@ -94,7 +94,7 @@
         return copies;
     }
 
-    private static void references(SettingsSection s, Map<String, PoolSettings> pools) {
+    private static void checkReferences(SettingsSection s, Map<String, PoolSettings> pools) {
         PoolSettings pool = pools.get(s.subject());
         if (pool == null) {
             s.reject("", "unknown pool '" + s.subject() + "'", "one of " + String.join(", ", pools.keySet()));
--- a/library/src/main/java/org/copperspindle/fleet/PlacementSettings.java
+++ b/library/src/main/java/org/copperspindle/fleet/PlacementSettings.java
@@ -4,15 +4,15 @@
 import java.util.Map;
 
 /**
- * Wanted placement of one pool.
+ * Desired placement of one pool.
  *
  * @param pool            the pool
- * @param copies          copies wanted of each model or adapter, in the order of the file
- * @param slots           models that one upstream holds
- * @param adapterSlots    adapters that one upstream holds
- * @param maxInChange     share of the pool's upstreams with an order open at once, above 0 up to 1
+ * @param copies          desired copies of each model or adapter, in the order of the file
+ * @param slots           maximum models per upstream
+ * @param adapterSlots    maximum adapters per upstream
+ * @param maxInChange     maximum share of the pool's upstreams with an open order, above 0 and up to 1
  * @param loadTimeout     time after which a load counts as failed
- * @param weightsPath     folder of adapters as the engines see it
+ * @param weightsPath     directory of adapters on the file systems of the engines
  */
 public record PlacementSettings(
         String pool,
--- a/library/src/main/java/org/copperspindle/fleet/PoolView.java
+++ b/library/src/main/java/org/copperspindle/fleet/PoolView.java
@@ -16,7 +16,7 @@
 import org.copperspindle.membership.UpstreamAnnouncement;
 
 /**
- * One pool as the planner sees it at one instant: what each upstream serves, and what is being changed.
+ * The planner's view of a pool at one point in time: what each upstream serves, and the changes in progress.
  */
 final class PoolView {
 
@@ -26,21 +26,21 @@
     private final Map<String, Upstream> upstreams = new LinkedHashMap<>();
     private final Map<String, Integer> serving = new HashMap<>();
     private final Map<String, Integer> servingFamily = new HashMap<>();
-    private final Map<String, Integer> coming = new HashMap<>();
-    private final Map<String, Map<String, Integer>> byDomain = new HashMap<>();
-    private final Set<String> wantedFamilies = new HashSet<>();
-    private int inChange;
+    private final Map<String, Integer> loading = new HashMap<>();
+    private final Map<String, Map<String, Integer>> copiesBySubject = new HashMap<>();
+    private final Set<String> desiredFamilies = new HashSet<>();
+    private int changesInProgress;
 
     PoolView(PlacementSettings settings) {
         this.settings = settings;
         settings.copies().forEach((subject, count) -> {
             if (count > 0) {
-                wantedFamilies.add(ModelName.parse(subject).family());
+                desiredFamilies.add(ModelName.parse(subject).family());
             }
         });
     }
 
-    /** An upstream of the pool that takes new work. */
+    /** An upstream of the pool that accepts new work. */
     private static final class Upstream {
         private final String id;
         private final String failureDomain;
@@ -72,34 +72,37 @@
     void add(UpstreamAnnouncement announcement, Collection<String> subjects) {
         Upstream upstream = new Upstream(announcement, subjects);
         upstreams.put(upstream.id, upstream);
-        subjects.forEach(subject -> serves(upstream, subject, 1));
+        subjects.forEach(subject -> adjustServing(upstream, subject, 1));
     }
 
-    /** Counts an order that is open: what it takes away serves no more, what it brings does not serve yet. */
+    /**
+     * Accounts for an open order: a copy that it unloads no longer counts as serving, and a copy that it loads does not
+     * count as serving yet.
+     */
     void changing(String upstreamId, OrderKind kind, String subject) {
         Upstream upstream = upstreams.get(upstreamId);
         if (upstream == null) {
             return;
         }
         upstream.changing = true;
-        inChange++;
+        changesInProgress++;
         if (kind.loads() && !upstream.subjects.contains(subject)) {
-            coming.merge(subject, 1, Integer::sum);
-            domain(subject).merge(upstream.failureDomain, 1, Integer::sum);
+            loading.merge(subject, 1, Integer::sum);
+            copiesByDomain(subject).merge(upstream.failureDomain, 1, Integer::sum);
         } else if (kind.unloads() && upstream.subjects.remove(subject)) {
-            serves(upstream, subject, -1);
+            adjustServing(upstream, subject, -1);
         }
     }
 
-    boolean mayChangeMore() {
-        return inChange < Math.max(1, (int) Math.floor(settings.maxInChange() * upstreams.size()));
+    boolean mayStartChange() {
+        return changesInProgress < Math.max(1, (int) Math.floor(settings.maxInChange() * upstreams.size()));
     }
 
     int size() {
         return upstreams.size();
     }
 
-    /** Returns the wanted subjects that lack copies, the highest share missing first. */
+    /** Returns the desired subjects with missing copies, ordered by descending share of missing copies. */
     List<String> shortfalls() {
         List<String> missing = new ArrayList<>();
         settings.copies().keySet().stream().filter(s -> missing(s) > 0).forEach(missing::add);
@@ -111,17 +114,20 @@
     }
 
     int missing(String subject) {
-        int have = serving.getOrDefault(subject, 0) + coming.getOrDefault(subject, 0);
-        return Math.max(0, settings.copies().getOrDefault(subject, 0) - have);
+        int present = serving.getOrDefault(subject, 0) + loading.getOrDefault(subject, 0);
+        return Math.max(0, settings.copies().getOrDefault(subject, 0) - present);
     }
 
-    /** Finds where a copy should go: the failure domain with the fewest copies, then a stable choice by hash. */
+    /**
+     * Finds the upstream for a new copy: prefers the failure domain with the fewest copies, then decides by a stable
+     * hash.
+     */
     Optional<String> loadTarget(String subject, Predicate<String> allowed) {
-        return best(subject, u -> hasRoom(u, subject) && allowed.test(u.id));
+        return best(subject, u -> hasFreeSlot(u, subject) && allowed.test(u.id));
     }
 
-    /** Finds a surplus copy that stands in the way of a wanted one. */
-    Optional<FleetAction.Place> makeRoom(String subject, Predicate<String> allowed) {
+    /** Finds a surplus copy that occupies the slot of a missing one, and returns the order that unloads it. */
+    Optional<FleetAction.Place> freeSlot(String subject, Predicate<String> allowed) {
         boolean adapter = ModelName.parse(subject).adapter().isPresent();
         return best(
                         subject,
@@ -130,30 +136,31 @@
                 .map(u -> unload(u.id, surplus(u, adapter, subject).orElseThrow()));
     }
 
-    private Optional<String> best(String subject, Predicate<Upstream> fits) {
-        Map<String, Integer> copies = domain(subject);
+    private Optional<String> best(String subject, Predicate<Upstream> isEligible) {
+        Map<String, Integer> copies = copiesByDomain(subject);
         Upstream best = null;
         for (Upstream u : upstreams.values()) {
-            if (u.changing || u.subjects.contains(subject) || !fits.test(u)) {
+            if (u.changing || u.subjects.contains(subject) || !isEligible.test(u)) {
                 continue;
             }
-            if (best == null || better(copies, subject, u, best)) {
+            if (best == null || isPreferred(copies, subject, u, best)) {
                 best = u;
             }
         }
         return Optional.ofNullable(best).map(u -> u.id);
     }
 
-    private static boolean better(Map<String, Integer> copies, String subject, Upstream one, Upstream other) {
-        int difference = copies.getOrDefault(one.failureDomain, 0) - copies.getOrDefault(other.failureDomain, 0);
-        return difference < 0 || difference == 0 && score(subject, one) > score(subject, other);
+    private static boolean isPreferred(
+            Map<String, Integer> copies, String subject, Upstream candidate, Upstream other) {
+        int difference = copies.getOrDefault(candidate.failureDomain, 0) - copies.getOrDefault(other.failureDomain, 0);
+        return difference < 0 || difference == 0 && score(subject, candidate) > score(subject, other);
     }
 
     private static long score(String subject, Upstream upstream) {
         return HASH.hashChars(subject + "\n" + upstream.id);
     }
 
-    private boolean hasRoom(Upstream upstream, String subject) {
+    private boolean hasFreeSlot(Upstream upstream, String subject) {
         ModelName name = ModelName.parse(subject);
         if (name.adapter().isEmpty()) {
             return upstream.models() < settings.slots();
@@ -161,9 +168,9 @@
         return upstream.serves(name.base()) && upstream.subjects.size() - upstream.models() < settings.adapterSlots();
     }
 
-    private Optional<String> surplus(Upstream upstream, boolean adapter, String instead) {
-        ModelName wanted = ModelName.parse(instead);
-        if (adapter && !upstream.serves(wanted.base())) {
+    private Optional<String> surplus(Upstream upstream, boolean adapter, String replacement) {
+        ModelName replacementName = ModelName.parse(replacement);
+        if (adapter && !upstream.serves(replacementName.base())) {
             return Optional.empty();
         }
         return upstream.subjects.stream()
@@ -178,10 +185,10 @@
         if (serving.getOrDefault(subject, 0) <= settings.copies().getOrDefault(subject, 0)) {
             return false;
         }
-        // The last copy in service of any version must stay until a copy of another version serves: without it every
+        // The last serving copy of any version must stay until a copy of another version serves. Otherwise every
         // request for the model would fail until a load has ended, and a load may fail.
         String family = ModelName.parse(subject).family();
-        return !wantedFamilies.contains(family) || servingFamily.getOrDefault(family, 0) > 1;
+        return !desiredFamilies.contains(family) || servingFamily.getOrDefault(family, 0) > 1;
     }
 
     private static FleetAction.Place unload(String upstreamId, String subject) {
@@ -189,13 +196,13 @@
         return new FleetAction.Place(upstreamId, adapter ? OrderKind.UNLOAD_ADAPTER : OrderKind.UNLOAD_MODEL, subject);
     }
 
-    private void serves(Upstream upstream, String subject, int change) {
+    private void adjustServing(Upstream upstream, String subject, int change) {
         serving.merge(subject, change, Integer::sum);
         servingFamily.merge(ModelName.parse(subject).family(), change, Integer::sum);
-        domain(subject).merge(upstream.failureDomain, change, Integer::sum);
+        copiesByDomain(subject).merge(upstream.failureDomain, change, Integer::sum);
     }
 
-    private Map<String, Integer> domain(String subject) {
-        return byDomain.computeIfAbsent(subject, s -> new HashMap<>());
+    private Map<String, Integer> copiesByDomain(String subject) {
+        return copiesBySubject.computeIfAbsent(subject, s -> new HashMap<>());
     }
 }
--- a/library/src/main/java/org/copperspindle/fleet/WeightStoreSettings.java
+++ b/library/src/main/java/org/copperspindle/fleet/WeightStoreSettings.java
@@ -1,14 +1,14 @@
 package org.copperspindle.fleet;
 
 /**
- * What the weight store bears, over the whole fleet.
+ * Limits for loads from the weight store, over the whole fleet.
  *
- * @param loadsPerSecond  loads begun per second in the long run
- * @param burst           loads that may be begun at once after a quiet time
- * @param concurrentLoads loads under way at once
+ * @param loadsPerSecond  sustained rate at which loads may start, per second
+ * @param burst           loads that may start at once after an idle period
+ * @param concurrentLoads maximum concurrent loads
  */
 public record WeightStoreSettings(double loadsPerSecond, int burst, int concurrentLoads) {
 
-    /** Used where the configuration names none. */
+    /** Used when the configuration has no section for the weight store. */
     public static final WeightStoreSettings DEFAULT = new WeightStoreSettings(0.5, 2, 8);
 }
--- a/library/src/main/java/org/copperspindle/fleet/package-info.java
+++ b/library/src/main/java/org/copperspindle/fleet/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Wanted and seen placement of models on engines, and the fenced orders that close the gap.
+ * Desired and observed placement of models on engines, and the fenced orders that reconcile them.
  */
 package org.copperspindle.fleet;
--- a/library/src/test/java/org/copperspindle/fleet/FleetPlannerScheduleTest.java
+++ b/library/src/test/java/org/copperspindle/fleet/FleetPlannerScheduleTest.java
@@ -8,9 +8,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Random schedules of losses, returns, failed and slow loads, changes of leader and of configuration, in virtual time.
- * After each step: no model loses its last copy by an order, no pool is above its share in change, the weight store's
- * rate holds over any stretch. Once the faults end, the wanted placement is reached.
+ * Random schedules of lost and returning upstreams, failed and slow loads, and changes of leader and configuration, in
+ * virtual time. After each step: no model loses its last copy by an order, no pool exceeds its share of upstreams in
+ * change, and the weight store's rate holds over any interval. Once the faults end, the desired placement is reached.
  */
 class FleetPlannerScheduleTest {
 
@@ -43,7 +43,7 @@
             fleet.failureShare = step < STEPS / 2 ? 0.3 : 0;
             fleet.loadSeconds = 1 + random.nextInt(30);
             fleet.run(1);
-            assertThat(fleet.broken).as("seed " + seed + " step " + step).isEmpty();
+            assertThat(fleet.violations).as("seed " + seed + " step " + step).isEmpty();
         }
         fleet.failureShare = 0;
         while (fleet.size() < 20) {
@@ -52,8 +52,8 @@
 
         fleet.settle();
 
-        assertThat(fleet.broken).isEmpty();
+        assertThat(fleet.violations).isEmpty();
         assertThat(fleet.shortfalls()).as("seed " + seed).isEmpty();
-        assertThat(fleet.loadsBegun).isGreaterThan(50);
+        assertThat(fleet.loadsStarted).isGreaterThan(50);
     }
 }
--- a/library/src/test/java/org/copperspindle/fleet/FleetPlannerTest.java
+++ b/library/src/test/java/org/copperspindle/fleet/FleetPlannerTest.java
@@ -9,27 +9,27 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Decisions of the planner in single situations, on a simulated pool.
+ * Decisions of the planner in specific situations, on a simulated pool.
  */
 class FleetPlannerTest {
 
     /**
-     * Two models have lost copies: one half of its two, the other one of its four. The model with half missing is
-     * loaded first.
+     * Two models have lost copies, one of them half of its two, the other a quarter of its four. The model that misses
+     * half of its copies is loaded first.
      */
     @Test
     void highestShortfallFirst() {
         PlannedFleet fleet = new PlannedFleet(8, 1, "copies = a:4, b:2\nslots = 1\n");
         fleet.settle();
-        fleet.lose("a", 1);
-        fleet.lose("b", 1);
+        fleet.loseCopies("a", 1);
+        fleet.loseCopies("b", 1);
 
         assertThat(fleet.placed()).startsWith("LOAD_MODEL b", "LOAD_MODEL a");
     }
 
     /**
-     * A VM is lost while its engine loads. The order is given up at once and the copy is loaded elsewhere; the weight
-     * store's rate holds over both loads.
+     * A VM is lost while its engine loads a model. The order is abandoned at once and the copy is loaded elsewhere; the
+     * weight store's rate covers both loads.
      */
     @Test
     void upstreamLostDuringLoadIsReplaced() {
@@ -47,23 +47,23 @@
     }
 
     /**
-     * The weight store is slow: each load takes ten times the usual time. Loads under way stay within the bound and no
-     * load is given up before its timeout, so the store is not asked for more because it is slow.
+     * The weight store is slow: each load takes ten times as long as usual. The number of concurrent loads stays within
+     * the limit and no load is abandoned before its timeout, so a slow store does not receive more load.
      */
     @Test
-    void slowWeightStoreIsNotAskedForMore() {
+    void slowWeightStoreGetsNoAdditionalLoads() {
         PlannedFleet fleet = new PlannedFleet(100, 1, "copies = a:60\nslots = 1\nmax-in-change = 1\n");
         fleet.loadSeconds = 300;
 
         fleet.run(290);
 
         assertThat(fleet.openUpstreams()).hasSize(8);
-        assertThat(fleet.loadsBegun).isEqualTo(8);
+        assertThat(fleet.loadsStarted).isEqualTo(8);
     }
 
     /**
-     * A new version is wanted in place of the old one, which fills every slot. Copies are changed within the share, and
-     * at no moment does no version serve; with one engine alone nothing is unloaded, because its copy is the last.
+     * A new version replaces the old one, which occupies every slot. Copies are changed within the permitted share, and
+     * at least one version serves at any time. With a single engine nothing is unloaded, because its copy is the last.
      */
     @ParameterizedTest
     @CsvSource({"4, 0", "8, 0", "1, 1"})
@@ -77,20 +77,21 @@
 
         assertThat(fleet.serving("m@1")).isEqualTo(oldCopiesLeft);
         assertThat(fleet.serving("m@2")).isEqualTo(upstreams - oldCopiesLeft);
-        assertThat(fleet.broken).isEmpty();
+        assertThat(fleet.violations).isEmpty();
     }
 
     /**
-     * An unload is ordered and its agent is cut off, so nobody knows whether it was carried out. However long that
-     * lasts, its copy does not count as serving again: the other copy would go as well, and both engines be empty.
+     * The agent of an unload order is unreachable, so it is unknown whether the order was executed. However long that
+     * lasts, the copy must not count as serving again: otherwise the other copy would be unloaded as well, and both
+     * engines would be empty.
      */
     @Test
-    void unansweredUnloadIsNotForgotten() {
+    void unreportedUnloadStaysOpen() {
         PlannedFleet fleet = new PlannedFleet(2, 1, "copies = m@1:2\nslots = 1\nmax-in-change = 1\n");
         fleet.settle();
-        fleet.unheard = true;
+        fleet.unresponsive = true;
         fleet.configure("copies = m@2:2\nslots = 1\nmax-in-change = 1\n");
-        fleet.lose("none", 0);
+        fleet.loseCopies("none", 0);
 
         fleet.settle();
 
@@ -98,8 +99,8 @@
     }
 
     /**
-     * One model can't be loaded anywhere and has the highest shortfall. Retries come ever later, so that the other
-     * model is loaded meanwhile instead of waiting for the weight store's rate.
+     * One model can't be loaded anywhere and has the largest shortfall. Its retries are delayed more and more, so that
+     * the other model is loaded in the meantime instead of waiting for the weight store's rate.
      */
     @Test
     void modelThatNeverLoadsDoesNotStarveTheOthers() {
@@ -112,7 +113,9 @@
         assertThat(fleet.failures).isBetween(3, 30);
     }
 
-    /** Copies go to the failure domain that has the fewest, adapters only where their base model serves. */
+    /**
+     * Copies are placed in the failure domain with the fewest copies, and adapters only where their base model serves.
+     */
     @Test
     void copiesAreSpreadAndAdaptersFollowTheirBase() {
         PlannedFleet fleet =
--- a/library/src/test/java/org/copperspindle/fleet/FleetServiceTest.java
+++ b/library/src/test/java/org/copperspindle/fleet/FleetServiceTest.java
@@ -22,7 +22,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * The leader's side of orders, with a log whose quorum the test controls.
+ * Tests {@link FleetService} on a leader whose quorum the test controls.
  */
 class FleetServiceTest {
 
@@ -35,7 +35,7 @@
     private final FleetService service = new FleetService(timers, log, state, id -> Optional.of(agent));
 
     @BeforeEach
-    void wantOneCopy() {
+    void configureOneCopy() {
         log.propose(
                 state.encode(new ApplyConfigCommand("c", 0, "ann", "[placement p]\ncopies = m:1\nslots = 2\n")),
                 r -> {});
@@ -44,14 +44,15 @@
     }
 
     /**
-     * The leader has committed an order and is cut off before it is sent; the quorum elects another. Its queue wakes:
-     * neither the waiting callback nor the periodic resending sends anything, although the order is still open.
+     * The leader has committed an order and is isolated before it sends it; the quorum elects another leader. When the
+     * old leader resumes, neither the queued callback nor the periodic resending sends anything, although the order is
+     * still open.
      */
     @Test
     void replacedLeaderSendsNothingFromItsQueue() {
-        log.holding = true;
+        log.deferring = true;
         timers.advance(10 * SECOND);
-        assertThat(log.held).isNotEmpty();
+        assertThat(log.deferred).isNotEmpty();
         log.leading = false;
 
         log.release();
@@ -62,12 +63,12 @@
     }
 
     /**
-     * A leader without a quorum still believes that it leads when a restarted agent asks for the current number. The
-     * question can't be committed, so it is not answered, and the agent passes no order of this leader.
+     * A leader without a quorum still considers itself the leader when a restarted agent queries the current fencing
+     * number. The query can't be committed, so it gets no reply, and the agent forwards no order of this leader.
      */
     @Test
     void leaderWithoutQuorumConfirmsNoNumber() {
-        log.holding = true;
+        log.deferring = true;
 
         service.onMessage(agent, new FenceQueryMessage("e", 2));
         timers.advance(60 * SECOND);
@@ -76,11 +77,11 @@
     }
 
     /**
-     * The leader dies after it sent an order and another takes over from the same state. It gives the open order again
-     * with its own term and a higher number, and does not place a second one beside it.
+     * The leader crashes after sending an order, and another takes over from the same state. It reissues the open order
+     * with its own term and a higher number, and does not place a second one.
      */
     @Test
-    void nextLeaderGivesTheOpenOrderAgain() {
+    void nextLeaderReissuesTheOpenOrder() {
         timers.advance(3 * SECOND);
         OrderMessage first = (OrderMessage) agent.sent.get(0);
         log.leading = false;
@@ -91,17 +92,17 @@
         timers.advance(20 * SECOND);
 
         assertThat(agent.sent).isNotEmpty().allSatisfy(sent -> {
-            OrderMessage again = (OrderMessage) sent;
-            assertThat(again.term()).isEqualTo(2);
-            assertThat(again.sequence()).isGreaterThan(first.sequence());
-            assertThat(again.subject()).isEqualTo("m");
+            OrderMessage reissued = (OrderMessage) sent;
+            assertThat(reissued.term()).isEqualTo(2);
+            assertThat(reissued.sequence()).isGreaterThan(first.sequence());
+            assertThat(reissued.subject()).isEqualTo("m");
         });
         assertThat(agent.sent.stream().distinct()).hasSize(1);
     }
 
     /**
-     * The load is done and announced, and the report arrives twice. It is acknowledged each time, one order is closed,
-     * and the trail tells the order and its end.
+     * The load is completed and announced, and the report arrives twice. It is acknowledged each time, the order is
+     * closed once, and the audit trail gets one record of its end.
      */
     @Test
     void reportClosesTheOrderOnce() throws Exception {
@@ -131,10 +132,10 @@
                 r -> {});
     }
 
-    /** Commits at once, or holds what is proposed until it is released. */
+    /** Commits proposals immediately, or defers them until they are released. */
     private final class FakeLog implements ReplicatedLog {
-        private final List<Runnable> held = new ArrayList<>();
-        private boolean holding;
+        private final List<Runnable> deferred = new ArrayList<>();
+        private boolean deferring;
         private boolean leading = true;
         private long term = 1;
         private long index;
@@ -156,8 +157,8 @@
 
         @Override
         public void propose(byte[] command, Consumer<ProposalResult> callback) {
-            if (holding) {
-                held.add(() -> commit(command, callback));
+            if (deferring) {
+                deferred.add(() -> commit(command, callback));
             } else {
                 commit(command, callback);
             }
@@ -169,8 +170,8 @@
         }
 
         private void release() {
-            holding = false;
-            held.forEach(Runnable::run);
+            deferring = false;
+            deferred.forEach(Runnable::run);
         }
 
         @Override
@@ -179,7 +180,7 @@
         }
     }
 
-    /** Remembers what it was sent. */
+    /** Records the messages that were sent to it. */
     private static final class FakePeer implements Peer {
         private final List<WireMessage> sent = new ArrayList<>();
 
--- a/library/src/test/java/org/copperspindle/fleet/OrderHandlerTest.java
+++ b/library/src/test/java/org/copperspindle/fleet/OrderHandlerTest.java
@@ -13,7 +13,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Orders that must not reach an engine, at the agent beside it.
+ * Tests which orders an agent forwards to its engine, and how it reports them.
  */
 class OrderHandlerTest {
 
@@ -25,11 +25,11 @@
     private OrderHandler agent = startAgent(1);
 
     /**
-     * Leader 1 is cut off with an order in its queue. The agent's lease is prolonged by leader 2 and nothing else comes
-     * from that one. Leader 1 wakes and its queue arrives: nothing reaches the engine, which would have obeyed.
+     * Leader 1 is isolated with orders in its queue. Leader 2 renews the agent's lease and sends nothing else. When
+     * leader 1 resumes, its queued orders arrive: none of them reaches the engine, which would have executed them.
      */
     @Test
-    void queueOfReplacedLeaderHasNoEffect() {
+    void queuedOrdersOfReplacedLeaderHaveNoEffect() {
         agent.onMessage(new FenceReplyMessage("e", 1, 1, 10));
         agent.onTerm(2);
 
@@ -43,37 +43,38 @@
     }
 
     /**
-     * The network delivers an order three times: while the engine works on it, after it has ended, and after 100 later
-     * orders, when its report is forgotten. The engine is called once for it, and the report is told again while known.
+     * The network delivers an order three times: while the engine executes it, after it has ended, and after 100 later
+     * orders, when its report has been evicted. The engine is called once for it, and the report is repeated while it
+     * is retained.
      */
     @Test
-    void doubledOrderIsCarriedOutOnce() {
+    void duplicateOrderIsExecutedOnce() {
         agent.onMessage(new FenceReplyMessage("e", 1, 1, 10));
         OrderMessage order = order(1, 11, OrderKind.LOAD_MODEL, "m");
         agent.onMessage(order);
         agent.onMessage(order);
-        engine.answer(200);
+        engine.respond(200);
         agent.onMessage(order);
         assertThat(lastReport().outcome()).isEqualTo(OrderOutcome.DONE);
         for (int i = 0; i < 100; i++) {
             agent.onMessage(order(1, 12 + i, OrderKind.CHANGE_ROLE, "decode"));
-            engine.answer(200);
+            engine.respond(200);
         }
 
         agent.onMessage(order);
 
         assertThat(engine.calls).filteredOn(c -> c.orderId().equals("e/11")).hasSize(1);
-        assertThat(engine.highestOnly()).hasSize(101);
+        assertThat(engine.withIncreasingNumbers()).hasSize(101);
     }
 
     /**
-     * The agent dies and comes back without a memory. An order that was given before arrives late, first before the
-     * leader has answered the new life's question and then after. Neither copy reaches the engine, though both are
-     * addressed to the new life; an order given after the answer does.
+     * The agent crashes and restarts without its state. An order issued before arrives late, first before the leader
+     * has replied to the new incarnation's query and then after. Neither duplicate reaches the engine, though both are
+     * addressed to the new incarnation; an order issued after the reply does.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void restartedAgentPassesNothingBeforeItKnowsTheNumber(boolean answered) {
+    void restartedAgentForwardsNothingBeforeItKnowsTheNumber(boolean answered) {
         agent.stop();
         agent = startAgent(2);
         assertThat(sent).contains(new FenceQueryMessage("e", 2));
@@ -93,37 +94,37 @@
     }
 
     /**
-     * As above for a pool whose engines check numbers themselves. The agent need not wait for the answer: the engine
-     * has seen 40 and refuses 11 itself, which the agent reports as never carried out.
+     * The same for a pool whose engines check fencing numbers themselves. The agent need not wait for the reply: the
+     * engine has seen 40 and rejects 11 itself, which the agent reports as never executed.
      */
     @Test
     void checkingEngineRefusesTheLowerNumberItself() {
-        engine.refusesBelow = 40;
+        engine.rejectsBelow = 40;
         agent.stop();
         agent = startAgent(2);
         agent.onConfiguration(true);
 
         agent.onMessage(new OrderMessage("e", 2, 1, 11, OrderKind.LOAD_MODEL, "m", "/w"));
-        engine.answer(200);
+        engine.respond(200);
 
-        assertThat(engine.obeyed).isEmpty();
+        assertThat(engine.executed).isEmpty();
         assertThat(lastReport().outcome()).isEqualTo(OrderOutcome.REFUSED);
         assertThat(lastReport().reason()).isEqualTo("engine-refused-number");
         assertThat(agent.models()).containsExactly("base");
     }
 
     /**
-     * Leader 1 dies while the engine loads. Leader 2 knows the open order and gives it again under its own number. The
-     * engine is not called a second time; the report carries the number that leader 2 waits for.
+     * Leader 1 crashes while the engine loads a model. Leader 2 knows the open order and reissues it under its own
+     * number. The engine is not called a second time, and the report carries the number that leader 2 waits for.
      */
     @Test
-    void nextLeaderTakesOverTheOrderUnderWay() {
+    void nextLeaderTakesOverTheOrderInProgress() {
         agent.onMessage(new FenceReplyMessage("e", 1, 1, 10));
         agent.onMessage(order(1, 11, OrderKind.LOAD_MODEL, "m"));
         agent.onTerm(2);
         agent.onMessage(order(2, 15, OrderKind.LOAD_MODEL, "m"));
 
-        engine.answer(200);
+        engine.respond(200);
 
         assertThat(engine.calls).hasSize(1);
         assertThat(lastReport()).isEqualTo(new OrderReportMessage("e", 1, 15, OrderOutcome.DONE, ""));
@@ -131,13 +132,14 @@
     }
 
     /**
-     * The report is lost with the leader. It is sent again until a leader says that it is committed, and not after.
+     * The report is lost with the leader. It is sent again until a leader acknowledges that it is committed, and not
+     * after.
      */
     @Test
     void reportIsSentUntilCommitted() {
         agent.onMessage(new FenceReplyMessage("e", 1, 1, 10));
         agent.onMessage(order(1, 11, OrderKind.LOAD_MODEL, "m"));
-        engine.answer(500);
+        engine.respond(500);
         sent.clear();
 
         timers.advance(3 * SECOND);
@@ -148,8 +150,9 @@
     }
 
     /**
-     * Entries still route to a model when its unload arrives. It is announced as gone at once, and the engine is told
-     * only when requests sent before have ended; if the engine fails then, the model stays out of the announcement.
+     * Entries still route to a model when its unload order arrives. The model is announced as gone at once, and the
+     * engine is called only when the requests sent before have ended. If the engine then fails, the model is not
+     * announced again.
      */
     @Test
     void unloadIsAnnouncedBeforeItHappens() {
@@ -161,7 +164,7 @@
         assertThat(engine.calls).isEmpty();
         timers.advance(2 * SECOND);
         assertThat(engine.calls).hasSize(1);
-        engine.answer(0);
+        engine.respond(0);
         assertThat(lastReport().outcome()).isEqualTo(OrderOutcome.FAILED);
         assertThat(agent.models()).isEmpty();
     }
@@ -180,39 +183,40 @@
         return (OrderReportMessage) sent.get(sent.size() - 1);
     }
 
-    /** An engine that answers when the test says so, and checks numbers if it is told a bound. */
+    /** An engine whose responses the test controls, and which rejects fencing numbers below a bound if one is set. */
     private static final class FakeEngine implements EngineOrderClient {
         private final List<EngineRequest> calls = new ArrayList<>();
-        private final List<EngineRequest> obeyed = new ArrayList<>();
-        private long refusesBelow;
-        private Consumer<Integer> waiting = status -> {};
+        private final List<EngineRequest> executed = new ArrayList<>();
+        private long rejectsBelow;
+        private Consumer<Integer> pendingCallback = status -> {};
 
         @Override
         public void send(EngineRequest request, Consumer<Integer> callback) {
             calls.add(request);
-            waiting = callback;
+            pendingCallback = callback;
         }
 
-        private void answer(int status) {
+        private void respond(int status) {
             EngineRequest request = calls.get(calls.size() - 1);
-            boolean refuses = request.fencingNumber() < refusesBelow;
-            if (!refuses) {
-                obeyed.add(request);
+            boolean rejected = request.fencingNumber() < rejectsBelow;
+            if (!rejected) {
+                executed.add(request);
             }
-            Consumer<Integer> callback = waiting;
-            waiting = s -> {};
-            callback.accept(refuses ? 409 : status);
+            Consumer<Integer> callback = pendingCallback;
+            pendingCallback = s -> {};
+            callback.accept(rejected ? 409 : status);
         }
 
-        /** Returns the calls whose number was above all before. */
-        private List<EngineRequest> highestOnly() {
-            List<EngineRequest> rising = new ArrayList<>();
+        /** Returns the calls whose fencing number was higher than that of all earlier calls. */
+        private List<EngineRequest> withIncreasingNumbers() {
+            List<EngineRequest> increasing = new ArrayList<>();
             for (EngineRequest call : calls) {
-                if (rising.isEmpty() || rising.get(rising.size() - 1).fencingNumber() < call.fencingNumber()) {
-                    rising.add(call);
+                if (increasing.isEmpty()
+                        || increasing.get(increasing.size() - 1).fencingNumber() < call.fencingNumber()) {
+                    increasing.add(call);
                 }
             }
-            return rising;
+            return increasing;
         }
     }
 }
--- a/library/src/test/java/org/copperspindle/fleet/PlannedFleet.java
+++ b/library/src/test/java/org/copperspindle/fleet/PlannedFleet.java
@@ -12,23 +12,24 @@
 import org.copperspindle.settings.SettingsException;
 
 /**
- * Engines that carry out what a planner orders, second by second, and a check of every promise after each.
+ * Simulated engines that execute the orders of a planner in steps of one second, and check its invariants with each
+ * action.
  */
 final class PlannedFleet {
 
     private static final long SECOND = 1_000_000_000L;
     private static final int SETTLE_SECONDS = 3000;
 
-    final List<String> broken = new ArrayList<>();
+    final List<String> violations = new ArrayList<>();
     List<String> failing = List.of();
     SplittableRandom random = new SplittableRandom(0);
-    boolean unheard;
+    boolean unresponsive;
     double failureShare;
     int loadSeconds = 5;
-    int loadsBegun;
+    int loadsStarted;
     int failures;
 
-    private final Map<String, UpstreamAnnouncement> seen = new TreeMap<>();
+    private final Map<String, UpstreamAnnouncement> announced = new TreeMap<>();
     private final Map<String, OpenOrder> open = new LinkedHashMap<>();
     private final Map<String, Long> endsAt = new LinkedHashMap<>();
     private final List<Long> loadTimes = new ArrayList<>();
@@ -38,7 +39,7 @@
     private FleetPlanner planner;
     private long now;
     private long sequence;
-    private int named;
+    private int nextNumber;
 
     PlannedFleet(int upstreams, int domains, String placement) {
         this.domains = domains;
@@ -64,31 +65,31 @@
     }
 
     void addOne() {
-        String id = String.format("u%04d", named);
-        announce(id, "d" + named % domains, 1, 1, List.of());
-        named++;
+        String id = String.format("u%04d", nextNumber);
+        announce(id, "d" + nextNumber % domains, 1, 1, List.of());
+        nextNumber++;
     }
 
     void remove(String id) {
-        seen.remove(id);
+        announced.remove(id);
     }
 
     void removeAny() {
-        if (seen.size() > 10) {
-            remove(any());
+        if (announced.size() > 10) {
+            remove(randomUpstream());
         }
     }
 
-    /** The agent starts again: its open order is void, and the engine is as it was. */
+    /** Restarts an agent: its open order becomes invalid, and the engine keeps its models. */
     void restartAny() {
-        String id = any();
-        UpstreamAnnouncement u = seen.get(id);
+        String id = randomUpstream();
+        UpstreamAnnouncement u = announced.get(id);
         open.remove(id);
         endsAt.remove(id);
         announce(id, u.failureDomain(), u.incarnation() + 1, 1, u.models());
     }
 
-    void lose(String model, int copies) {
+    void loseCopies(String model, int copies) {
         placed.clear();
         holders(model).stream().limit(copies).forEach(this::remove);
     }
@@ -100,8 +101,8 @@
     void run(int seconds) {
         for (int i = 0; i < seconds; i++) {
             now += SECOND;
-            finish();
-            planner.plan(seen, Map.copyOf(open), now).forEach(this::act);
+            completeOrders();
+            planner.plan(announced, Map.copyOf(open), now).forEach(this::perform);
         }
     }
 
@@ -115,7 +116,7 @@
     }
 
     int size() {
-        return seen.size();
+        return announced.size();
     }
 
     int serving(String model) {
@@ -123,14 +124,16 @@
     }
 
     List<String> holders(String model) {
-        return seen.values().stream()
+        return announced.values().stream()
                 .filter(u -> u.models().contains(model))
                 .map(UpstreamAnnouncement::upstreamId)
                 .toList();
     }
 
     List<String> domainsOf(String model) {
-        return holders(model).stream().map(id -> seen.get(id).failureDomain()).toList();
+        return holders(model).stream()
+                .map(id -> announced.get(id).failureDomain())
+                .toList();
     }
 
     List<String> shortfalls() {
@@ -143,11 +146,11 @@
         return missing;
     }
 
-    private String any() {
-        return List.copyOf(seen.keySet()).get(random.nextInt(seen.size()));
+    private String randomUpstream() {
+        return List.copyOf(announced.keySet()).get(random.nextInt(announced.size()));
     }
 
-    private void act(FleetAction action) {
+    private void perform(FleetAction action) {
         if (action instanceof FleetAction.Withdraw withdraw) {
             open.remove(withdraw.order().upstreamId());
             planner.onEnded(withdraw.order(), OrderOutcome.WITHDRAWN, now);
@@ -159,43 +162,43 @@
         checkShare();
         placed.add(place.kind() + " " + place.subject());
         if (place.kind().loads()) {
-            loadsBegun++;
+            loadsStarted++;
             loadTimes.add(now);
             checkRate();
-        } else if (!unheard) {
-            unloadBegins(place);
+        } else if (!unresponsive) {
+            startUnload(place);
         }
-        endsAt.put(place.upstreamId(), unheard ? Long.MAX_VALUE : now + loadSeconds * SECOND);
+        endsAt.put(place.upstreamId(), unresponsive ? Long.MAX_VALUE : now + loadSeconds * SECOND);
     }
 
     /** The agent announces the model as gone before the engine unloads it. */
-    private void unloadBegins(FleetAction.Place place) {
-        UpstreamAnnouncement u = seen.get(place.upstreamId());
-        List<String> left = new ArrayList<>(u.models());
-        left.remove(place.subject());
-        announce(u.upstreamId(), u.failureDomain(), u.incarnation(), u.sequence() + 1, left);
+    private void startUnload(FleetAction.Place place) {
+        UpstreamAnnouncement u = announced.get(place.upstreamId());
+        List<String> remaining = new ArrayList<>(u.models());
+        remaining.remove(place.subject());
+        announce(u.upstreamId(), u.failureDomain(), u.incarnation(), u.sequence() + 1, remaining);
         String family = ModelName.parse(place.subject()).family();
         boolean wanted = plan.pools().get(0).copies().keySet().stream()
                 .anyMatch(m -> ModelName.parse(m).family().equals(family));
-        boolean served = seen.values().stream()
+        boolean served = announced.values().stream()
                 .flatMap(o -> o.models().stream())
                 .anyMatch(m -> ModelName.parse(m).family().equals(family));
         if (wanted && !served) {
-            broken.add("last copy of " + family + " unloaded");
+            violations.add("last copy of " + family + " unloaded");
         }
     }
 
-    private void finish() {
+    private void completeOrders() {
         for (OpenOrder order : List.copyOf(open.values())) {
             String id = order.upstreamId();
-            if (seen.containsKey(id) && endsAt.get(id) <= now) {
+            if (announced.containsKey(id) && endsAt.get(id) <= now) {
                 open.remove(id);
-                end(order, seen.get(id));
+                complete(order, announced.get(id));
             }
         }
     }
 
-    private void end(OpenOrder order, UpstreamAnnouncement u) {
+    private void complete(OpenOrder order, UpstreamAnnouncement u) {
         boolean fails = failing.contains(order.subject()) || random.nextDouble() < failureShare;
         if (fails) {
             failures++;
@@ -211,25 +214,25 @@
     }
 
     private void announce(String id, String domain, long incarnation, long number, List<String> models) {
-        seen.put(
+        announced.put(
                 id,
                 new UpstreamAnnouncement(
                         id, "p", domain, new InetSocketAddress("127.0.0.1", 1), incarnation, number, models, false));
     }
 
     /**
-     * Checked whenever an order is placed: a VM that is lost, or a smaller share in a new configuration, lowers the
-     * bound under orders given before.
+     * Checks the share of upstreams in change when an order is placed. It is not checked at other times, because a lost
+     * VM, or a smaller share in a new configuration, lowers the limit below the orders already open.
      */
     private void checkShare() {
-        long changing = open.keySet().stream().filter(seen::containsKey).count();
-        long most = Math.max(1, (long) (plan.pools().get(0).maxInChange() * seen.size()));
+        long changing = open.keySet().stream().filter(announced::containsKey).count();
+        long most = Math.max(1, (long) (plan.pools().get(0).maxInChange() * announced.size()));
         if (changing > most) {
-            broken.add(changing + " in change, at most " + most);
+            violations.add(changing + " in change, at most " + most);
         }
     }
 
-    /** Over every stretch that ends now: no more loads than the burst and the rate over its length. */
+    /** Checks, for every interval that ends now, that no more loads started than the burst and the rate permit. */
     private void checkRate() {
         for (int i = 0; i < loadTimes.size(); i++) {
             long loads = loadTimes.size() - i;
@@ -238,7 +241,7 @@
                             / (double) SECOND
                             * plan.weightStore().loadsPerSecond();
             if (loads > allowed + 1e-6) {
-                broken.add(loads + " loads in " + (now - loadTimes.get(i)) / SECOND + " s");
+                violations.add(loads + " loads in " + (now - loadTimes.get(i)) / SECOND + " s");
             }
         }
     }
