--- a/library/src/main/java/org/copperspindle/measure/BoundedLabels.java
+++ b/library/src/main/java/org/copperspindle/measure/BoundedLabels.java
@@ -4,25 +4,25 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Keeps the values of a label few: the first ones stand for themselves, all others for {@value #OTHER}. Without this,
- * thousands of client accounts would make as many time series of each entry.
+ * Bounds the number of values of a metric label: the first values are kept, all others are replaced by {@value #OTHER}.
+ * Otherwise thousands of client accounts would create as many time series at each entry.
  */
 final class BoundedLabels {
 
     static final String OTHER = "other";
 
-    private final int max;
+    private final int maxValues;
     private final Set<String> known = ConcurrentHashMap.newKeySet();
 
-    BoundedLabels(int max) {
-        this.max = max;
+    BoundedLabels(int maxValues) {
+        this.maxValues = maxValues;
     }
 
     String of(String value) {
         if (known.contains(value)) {
             return value;
         }
-        if (known.size() >= max) {
+        if (known.size() >= maxValues) {
             return OTHER;
         }
         known.add(value);
--- a/library/src/main/java/org/copperspindle/measure/DecisionLog.java
+++ b/library/src/main/java/org/copperspindle/measure/DecisionLog.java
@@ -4,8 +4,9 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Bounds how many lines are written about requests. Lines of requests that fail have an allowance of their own, so that
- * a flood of served ones never crowds them out. What was left out is counted and told. Network thread only.
+ * Limits the log lines per second about requests. Failed requests have a limit of their own, so that a flood of
+ * successful ones never suppresses their lines. Suppressed lines are counted, and the counts are logged. Used on the
+ * network thread only.
  */
 public final class DecisionLog {
 
@@ -17,14 +18,14 @@
     private long second;
     private int served;
     private int failed;
-    private long droppedServed;
-    private long droppedFailed;
+    private long suppressedServed;
+    private long suppressedFailed;
 
     /**
-     * Creates a log.
+     * Creates a limiter.
      *
-     * @param servedLimit most lines a second of requests that go well
-     * @param failedLimit most lines a second of requests that fail or are refused
+     * @param servedLimit maximum lines per second about successful requests
+     * @param failedLimit maximum lines per second about requests that fail or are refused
      */
     public DecisionLog(int servedLimit, int failedLimit) {
         this.servedLimit = servedLimit;
@@ -32,49 +33,49 @@
     }
 
     /**
-     * Asks for a line of a request that goes well so far.
+     * Reserves a log line for a request that is successful so far.
      *
      * @param now monotonic time in nanoseconds
-     * @return false if the line is to be left out
+     * @return false if the line must be suppressed
      */
     public boolean takesServed(long now) {
-        roll(now);
+        startSecond(now);
         if (served < servedLimit) {
             served++;
             return true;
         }
-        droppedServed++;
+        suppressedServed++;
         return false;
     }
 
     /**
-     * Asks for a line of a request that fails or is refused.
+     * Reserves a log line for a request that fails or is refused.
      *
      * @param now monotonic time in nanoseconds
-     * @return false if the line is to be left out
+     * @return false if the line must be suppressed
      */
     public boolean takesFailed(long now) {
-        roll(now);
+        startSecond(now);
         if (failed < failedLimit) {
             failed++;
             return true;
         }
-        droppedFailed++;
+        suppressedFailed++;
         return false;
     }
 
-    private void roll(long now) {
+    private void startSecond(long now) {
         long current = Math.floorDiv(now, NANOS_PER_SECOND);
         if (current == second) {
             return;
         }
-        if (droppedServed + droppedFailed > 0) {
-            LOGGER.warn("event=lines-dropped served={} failed={}", droppedServed, droppedFailed);
+        if (suppressedServed + suppressedFailed > 0) {
+            LOGGER.warn("event=lines-dropped served={} failed={}", suppressedServed, suppressedFailed);
         }
         second = current;
         served = 0;
         failed = 0;
-        droppedServed = 0;
-        droppedFailed = 0;
+        suppressedServed = 0;
+        suppressedFailed = 0;
     }
 }
--- a/library/src/main/java/org/copperspindle/measure/EntryMeasures.java
+++ b/library/src/main/java/org/copperspindle/measure/EntryMeasures.java
@@ -7,34 +7,34 @@
 import org.copperspindle.verdict.Verdict;
 
 /**
- * What an entry reports about the requests that it served. Callable from any thread; never blocks.
+ * Receives the events from which the metrics of an entry are derived. Thread-safe; never blocks.
  */
 public interface EntryMeasures {
 
-    /** Measures nothing; for tests and replay. */
+    /** Records nothing; for tests and replay. */
     EntryMeasures NONE = new EntryMeasures() {};
 
     /**
-     * An admitted request was answered.
+     * Called when an admitted request has been answered.
      *
      * @param request the request
-     * @param answer  its answer; a successful one is whole and was given within the deadline
-     * @param nanos   from admission to the answer
+     * @param answer  its answer; a successful one is complete and was sent within the deadline
+     * @param nanos   nanoseconds from admission to the answer
      */
     default void answered(PipelineRequest request, PipelineAnswer answer, long nanos) {}
 
     /**
-     * An attempt at a stage ended.
+     * Called when an attempt at a stage has ended.
      *
      * @param pipeline pipeline or service
      * @param stage    stage
      * @param verdict  verdict of the attempt
-     * @param busy     time that the upstream spent on it, which is the stage's cost; zero if not known
+     * @param busy     time that the upstream spent on it, which is the cost of the stage; zero if unknown
      */
     default void attemptEnded(String pipeline, String stage, Verdict verdict, Duration busy) {}
 
     /**
-     * A request was refused before anything of it ran.
+     * Called when a request is refused before any part of it has run.
      *
      * @param reason stable name of the reason
      */
--- a/library/src/main/java/org/copperspindle/measure/LatencyHistogram.java
+++ b/library/src/main/java/org/copperspindle/measure/LatencyHistogram.java
@@ -1,14 +1,14 @@
 package org.copperspindle.measure;
 
 /**
- * Counts durations by fixed bounds. Recording costs a few comparisons, so that it can stand on every request's path;
- * single-threaded.
+ * A histogram of durations with fixed bucket bounds. Recording takes a few comparisons, cheap enough for every request.
+ * Not thread-safe.
  */
 public final class LatencyHistogram {
 
     private static final double NANOS_PER_SECOND = 1e9;
 
-    /** Upper bounds in seconds: from a plain call's few milliseconds to the longest deadline. */
+    /** Upper bounds of the buckets in seconds, from the few milliseconds of a plain call to the longest deadline. */
     private static final double[] BOUNDS = {0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 1.5, 2, 3, 5, 10, 20, 60};
 
     private final long[] counts = new long[BOUNDS.length + 1];
@@ -17,7 +17,7 @@
     /**
      * Records a duration.
      *
-     * @param nanos nanoseconds
+     * @param nanos the duration in nanoseconds
      */
     public void record(long nanos) {
         double seconds = nanos / NANOS_PER_SECOND;
@@ -30,7 +30,7 @@
     }
 
     /**
-     * Returns how many bounds there are; one more bucket has none.
+     * Returns the number of bucket bounds. One further bucket has no upper bound.
      *
      * @return a count
      */
@@ -39,19 +39,19 @@
     }
 
     /**
-     * Names the bound of a bucket.
+     * Formats the upper bound of a bucket.
      *
-     * @param bucket number of the bucket
-     * @return seconds, or {@code +Inf}
+     * @param bucket index of the bucket
+     * @return the bound in seconds, or {@code +Inf}
      */
     public static String bound(int bucket) {
         return bucket < BOUNDS.length ? Double.toString(BOUNDS[bucket]) : "+Inf";
     }
 
     /**
-     * Returns how many durations were at most a bound.
+     * Returns the number of durations up to and including the bound of a bucket.
      *
-     * @param bucket number of the bucket
+     * @param bucket index of the bucket
      * @return a count
      */
     public long atMost(int bucket) {
--- a/library/src/main/java/org/copperspindle/measure/MetricsRegistry.java
+++ b/library/src/main/java/org/copperspindle/measure/MetricsRegistry.java
@@ -9,8 +9,8 @@
 import io.micrometer.prometheusmetrics.PrometheusMeterRegistry;
 
 /**
- * The metrics of one process. Names start with {@code copperspindle}; what the system counts anyway is read when it is
- * scraped, so that counting costs nothing more.
+ * Registry of the metrics of one process. Names start with {@code copperspindle}. Values that the system counts anyway
+ * are read on each scrape, so that publishing them adds no cost.
  */
 public final class MetricsRegistry implements AutoCloseable {
 
@@ -19,12 +19,12 @@
     private final PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
 
     /**
-     * Publishes a number that only grows.
+     * Registers a counter.
      *
-     * @param name        words separated by dots
-     * @param description for people
-     * @param source      what counts; kept alive by this registry
-     * @param value       reads it, from any thread
+     * @param name        dot-separated name without the common prefix
+     * @param description help text
+     * @param source      object that counts; kept alive by this registry
+     * @param value       reads the value; called from any thread
      * @param <T>         type of the source
      */
     public <T> void counter(String name, String description, T source, ToDoubleFunction<T> value) {
@@ -32,13 +32,13 @@
     }
 
     /**
-     * Publishes a number that only grows, one of several that differ by labels.
+     * Registers a counter with labels.
      *
-     * @param name        words separated by dots
-     * @param description for people
-     * @param source      what counts; kept alive by this registry
-     * @param value       reads it, from any thread
-     * @param labels      names and values of the labels in turn
+     * @param name        dot-separated name without the common prefix
+     * @param description help text
+     * @param source      object that counts; kept alive by this registry
+     * @param value       reads the value; called from any thread
+     * @param labels      alternating names and values of the labels
      * @param <T>         type of the source
      */
     public <T> void counter(String name, String description, T source, ToDoubleFunction<T> value, String... labels) {
@@ -49,12 +49,12 @@
     }
 
     /**
-     * Publishes a number that goes up and down.
+     * Registers a gauge.
      *
-     * @param name        words separated by dots
-     * @param description for people
-     * @param source      what is measured; kept alive by this registry
-     * @param value       reads it, from any thread
+     * @param name        dot-separated name without the common prefix
+     * @param description help text
+     * @param source      measured object; kept alive by this registry
+     * @param value       reads the value; called from any thread
      * @param <T>         type of the source
      */
     public <T> void gauge(String name, String description, T source, ToDoubleFunction<T> value) {
@@ -62,13 +62,13 @@
     }
 
     /**
-     * Publishes a number that goes up and down, one of several that differ by labels.
+     * Registers a gauge with labels.
      *
-     * @param name        words separated by dots
-     * @param description for people
-     * @param source      what is measured; kept alive by this registry
-     * @param value       reads it, from any thread
-     * @param labels      names and values of the labels in turn
+     * @param name        dot-separated name without the common prefix
+     * @param description help text
+     * @param source      measured object; kept alive by this registry
+     * @param value       reads the value; called from any thread
+     * @param labels      alternating names and values of the labels
      * @param <T>         type of the source
      */
     public <T> void gauge(String name, String description, T source, ToDoubleFunction<T> value, String... labels) {
@@ -82,7 +82,7 @@
     /**
      * Returns all metrics.
      *
-     * @return Prometheus text format
+     * @return the metrics in the Prometheus text format
      */
     public String scrape() {
         return registry.scrape();
--- a/library/src/main/java/org/copperspindle/measure/MicrometerEntryMeasures.java
+++ b/library/src/main/java/org/copperspindle/measure/MicrometerEntryMeasures.java
@@ -12,15 +12,15 @@
 import org.copperspindle.verdict.Verdict;
 
 /**
- * Publishes an entry's measures. Labels are names from the configuration in force or constants of this program, and
- * those of which there can be thousands are bounded.
+ * Records the metrics of an entry in Micrometer. Label values are names from the configuration in force or constants of
+ * the program; labels that could have thousands of values are bounded.
  */
 public final class MicrometerEntryMeasures implements EntryMeasures {
 
-    private static final int MAX_ACCOUNTS = 200;
-    private static final int MAX_REASONS = 64;
-    private static final int MAX_STAGES = 256;
-    private static final Duration[] BUCKETS = {
+    private static final int MAX_ACCOUNT_LABELS = 200;
+    private static final int MAX_REASON_LABELS = 64;
+    private static final int MAX_STAGE_LABELS = 256;
+    private static final Duration[] DURATION_BUCKETS = {
         Duration.ofMillis(100),
         Duration.ofMillis(250),
         Duration.ofMillis(500),
@@ -32,15 +32,15 @@
     };
 
     private final MeterRegistry meters;
-    private final BoundedLabels accounts = new BoundedLabels(MAX_ACCOUNTS);
-    private final BoundedLabels reasons = new BoundedLabels(MAX_REASONS);
-    private final BoundedLabels pipelines = new BoundedLabels(MAX_STAGES);
-    private final BoundedLabels stages = new BoundedLabels(MAX_STAGES);
+    private final BoundedLabels accounts = new BoundedLabels(MAX_ACCOUNT_LABELS);
+    private final BoundedLabels reasons = new BoundedLabels(MAX_REASON_LABELS);
+    private final BoundedLabels pipelines = new BoundedLabels(MAX_STAGE_LABELS);
+    private final BoundedLabels stages = new BoundedLabels(MAX_STAGE_LABELS);
 
     /**
-     * Creates the measures.
+     * Creates the metrics.
      *
-     * @param registry where they are published
+     * @param registry registry in which they are published
      */
     public MicrometerEntryMeasures(MetricsRegistry registry) {
         this.meters = registry.meters();
@@ -48,11 +48,11 @@
 
     @Override
     public void answered(PipelineRequest request, PipelineAnswer answer, long nanos) {
-        String kept = pipelines.of(request.pipeline().name());
+        String pipelineLabel = pipelines.of(request.pipeline().name());
         String attained = String.valueOf(answer.successful());
         Counter.builder("copperspindle.requests")
                 .description("Admitted requests answered; attained: whole and within the deadline")
-                .tag("pipeline", kept)
+                .tag("pipeline", pipelineLabel)
                 .tag("priority", request.priority().name().toLowerCase(Locale.ROOT))
                 .tag("verdict", answer.verdict().label())
                 .tag("attained", attained)
@@ -66,27 +66,27 @@
                 .increment();
         Timer.builder("copperspindle.request.duration")
                 .description("From admission to the answer")
-                .tag("pipeline", kept)
-                .serviceLevelObjectives(BUCKETS)
+                .tag("pipeline", pipelineLabel)
+                .serviceLevelObjectives(DURATION_BUCKETS)
                 .register(meters)
                 .record(nanos, TimeUnit.NANOSECONDS);
     }
 
     @Override
     public void attemptEnded(String pipeline, String stage, Verdict verdict, Duration busy) {
-        String keptPipeline = pipelines.of(pipeline);
-        String keptStage = stages.of(stage);
+        String pipelineLabel = pipelines.of(pipeline);
+        String stageLabel = stages.of(stage);
         Counter.builder("copperspindle.stage.attempts")
                 .description("Attempts at stages that ended")
-                .tag("pipeline", keptPipeline)
-                .tag("stage", keptStage)
+                .tag("pipeline", pipelineLabel)
+                .tag("stage", stageLabel)
                 .tag("verdict", verdict.label())
                 .register(meters)
                 .increment();
         Counter.builder("copperspindle.stage.busy.seconds")
                 .description("Time that upstreams spent on attempts: the cost by stage")
-                .tag("pipeline", keptPipeline)
-                .tag("stage", keptStage)
+                .tag("pipeline", pipelineLabel)
+                .tag("stage", stageLabel)
                 .register(meters)
                 .increment(busy.toNanos() / 1e9);
     }
--- a/library/src/main/java/org/copperspindle/measure/SlidingCount.java
+++ b/library/src/main/java/org/copperspindle/measure/SlidingCount.java
@@ -1,21 +1,20 @@
 package org.copperspindle.measure;
 
 /**
- * Counts events in a window that slides by buckets: the newest bucket and as many full ones before it as the window has room
- * for.
+ * Counts events in a sliding window of buckets: the newest bucket and the full ones before it that fit into the window.
  */
 public final class SlidingCount {
 
     private final long bucketNanos;
     private final long[] counts;
     private long newest;
-    private boolean begun;
+    private boolean started;
 
     /**
-     * Creates a count of zero.
+     * Creates an empty window.
      *
-     * @param buckets     buckets of the window
-     * @param bucketNanos length of one, in nanoseconds
+     * @param buckets     number of buckets in the window
+     * @param bucketNanos length of a bucket in nanoseconds
      */
     public SlidingCount(int buckets, long bucketNanos) {
         this.counts = new long[buckets];
@@ -28,18 +27,18 @@
      * @param now monotonic time in nanoseconds
      */
     public void add(long now) {
-        roll(now);
+        advance(now);
         counts[0]++;
     }
 
     /**
-     * Returns the events of the window.
+     * Returns the number of events in the window.
      *
      * @param now monotonic time in nanoseconds
      * @return a count
      */
     public long sum(long now) {
-        roll(now);
+        advance(now);
         long sum = 0;
         for (long count : counts) {
             sum += count;
@@ -47,14 +46,14 @@
         return sum;
     }
 
-    private void roll(long now) {
+    private void advance(long now) {
         long bucket = Math.floorDiv(now, bucketNanos);
-        long steps = begun ? Math.min(counts.length, bucket - newest) : 0;
+        long steps = started ? Math.min(counts.length, bucket - newest) : 0;
         for (long step = 0; step < steps; step++) {
             System.arraycopy(counts, 0, counts, 1, counts.length - 1);
             counts[0] = 0;
         }
         newest = bucket;
-        begun = true;
+        started = true;
     }
 }
--- a/library/src/main/java/org/copperspindle/measure/package-info.java
+++ b/library/src/main/java/org/copperspindle/measure/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Attainment, cost by stage and Micrometer metrics.
+ * Metrics of requests, such as attainment and cost by stage, published with Micrometer.
  */
 package org.copperspindle.measure;
--- a/library/src/test/java/org/copperspindle/measure/BusiestWindow.java
+++ b/library/src/test/java/org/copperspindle/measure/BusiestWindow.java
@@ -3,29 +3,29 @@
 import java.util.List;
 
 /**
- * Finds the window in which most arrived, among all windows of a length.
+ * Finds the window of a given length that contains the most arrivals.
  */
 public final class BusiestWindow {
 
     private BusiestWindow() {}
 
     /**
-     * Counts what arrived in it.
+     * Counts the arrivals in that window.
      *
-     * @param arrivals moments, in any order
+     * @param arrivals arrival times, in any order
      * @param length   length of a window, in the same unit
      * @return a count
      */
     public static int count(List<Long> arrivals, long length) {
         long[] times = arrivals.stream().mapToLong(Long::longValue).sorted().toArray();
-        int most = 0;
-        int from = 0;
-        for (int to = 0; to < times.length; to++) {
-            while (times[to] - times[from] >= length) {
-                from++;
+        int highest = 0;
+        int first = 0;
+        for (int last = 0; last < times.length; last++) {
+            while (times[last] - times[first] >= length) {
+                first++;
             }
-            most = Math.max(most, to - from + 1);
+            highest = Math.max(highest, last - first + 1);
         }
-        return most;
+        return highest;
     }
 }
--- a/library/src/test/java/org/copperspindle/measure/SlidingCountTest.java
+++ b/library/src/test/java/org/copperspindle/measure/SlidingCountTest.java
@@ -10,7 +10,7 @@
     /** One event in each of five buckets of ten; the window has three. */
     @ParameterizedTest
     @CsvSource({"30, 3", "39, 3", "40, 2", "55, 1", "60, 0", "1000, 0"})
-    void eventsLeaveWithTheirBucket(long now, long expected) {
+    void eventsExpireWithTheirBucket(long now, long expected) {
         SlidingCount count = new SlidingCount(3, 10);
         for (long at : new long[] {-5, 0, 10, 20, 30}) {
             count.add(at);
