--- a/library/src/main/java/org/copperspindle/audit/AuditEntry.java
+++ b/library/src/main/java/org/copperspindle/audit/AuditEntry.java
@@ -8,16 +8,17 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * The facts of one audit record, before it has its place in the chain. It is also a command of the log, for facts that
- * only the leader can observe, such as when a version was in force.
+ * The contents of an audit record, before the record is added to the chain. Also a command of the replicated log, for
+ * events that only the leader can observe, such as when a version was in force.
  *
- * @param kind             what it is about
- * @param actor            operator, process or upstream that brought it about
+ * @param kind             kind of event
+ * @param actor            operator, process or upstream that caused the event
  * @param subject          change id, upstream, order id or voter
- * @param baseVersion      version that a change was made from, 0 if there is none
- * @param version          configuration version that it belongs to
- * @param acceptedAtMillis wall clock of the leader, in milliseconds since 1970, for readers only; nothing is decided by it
- * @param details          what happened, line by line; never a secret
+ * @param baseVersion      version that a change is based on, 0 if there is none
+ * @param version          configuration version that the event belongs to
+ * @param acceptedAtMillis wall clock of the leader, in milliseconds since 1970, for readers only; no decision depends
+ *     on it
+ * @param details          description of the event in lines; never contains a secret
  */
 public record AuditEntry(
         AuditKind kind,
@@ -34,12 +35,12 @@
             MessageCodec.of(95, AuditEntry.class, AuditEntry::write, AuditEntry::read);
 
     /**
-     * Puts the time in.
+     * Returns a copy of this entry with another time.
      *
      * @param millis wall clock of the leader, in milliseconds since 1970
-     * @return this entry with that time
+     * @return the copy
      */
-    AuditEntry at(long millis) {
+    AuditEntry withTime(long millis) {
         return new AuditEntry(kind, actor, subject, baseVersion, version, millis, details);
     }
 
--- a/library/src/main/java/org/copperspindle/audit/AuditEntryFactory.java
+++ b/library/src/main/java/org/copperspindle/audit/AuditEntryFactory.java
@@ -7,21 +7,21 @@
 import org.copperspindle.membership.UpstreamAnnouncement;
 
 /**
- * Words the records of the trail. Pure: the same arguments give the same record on each member.
+ * Creates the entries of the audit trail. Deterministic: the same arguments give the same entry on every member.
  */
 public final class AuditEntryFactory {
 
     private AuditEntryFactory() {}
 
     /**
-     * A configuration was accepted.
+     * Creates the entry for an accepted configuration.
      *
-     * @param operator         who asked
+     * @param operator         operator who proposed it
      * @param changeId         identity of the change
-     * @param baseVersion      version that it was made from
-     * @param version          its own version
-     * @param before           INI text of the base
-     * @param after            its INI text
+     * @param baseVersion      version that the change is based on
+     * @param version          version that the change created
+     * @param before           INI text of the base version
+     * @param after            INI text of the new version
      * @param acceptedAtMillis wall clock of the leader
      * @return the entry
      */
@@ -38,13 +38,14 @@
     }
 
     /**
-     * A version is in force at every serving member.
+     * Creates the entry for a version that is in force at every serving member.
      *
-     * @param leader     process that saw it
+     * @param leader     process that observed it
      * @param changeId   identity of the change
      * @param version    the version
      * @param atMillis   wall clock of the leader
-     * @param whereLines where and how long after acceptance, for example one line for each failure domain
+     * @param whereLines lines that state where it is in force and how long after acceptance, for example one per
+     *     failure domain
      * @return the entry
      */
     public static AuditEntry inForce(
@@ -53,13 +54,13 @@
     }
 
     /**
-     * An upstream announced something new.
+     * Creates the entry for a changed announcement of an upstream.
      *
-     * @param before   what was known of it, if anything
-     * @param now      what it announced
+     * @param before   previous announcement, if any
+     * @param now      new announcement
      * @param version  configuration version at that time
      * @param atMillis wall clock of the leader
-     * @return the entry; empty if nothing that readers ask for has changed
+     * @return the entry; empty if nothing has changed that the trail records
      */
     public static Optional<AuditEntry> membership(
             Optional<UpstreamAnnouncement> before, UpstreamAnnouncement now, long version, long atMillis) {
@@ -83,10 +84,10 @@
     }
 
     /**
-     * An upstream is gone.
+     * Creates the entry for a removed upstream.
      *
      * @param upstreamId  the upstream
-     * @param incarnation life that ended
+     * @param incarnation incarnation that ended
      * @param version     configuration version at that time
      * @param atMillis    wall clock of the leader
      * @return the entry
@@ -97,9 +98,9 @@
     }
 
     /**
-     * An order was given or ended.
+     * Creates the entry for an order that was issued or has ended.
      *
-     * @param upstreamId upstream that it is for
+     * @param upstreamId upstream of the order
      * @param orderId    identity of the order
      * @param version    configuration version at that time
      * @param atMillis   wall clock of the leader
@@ -111,9 +112,9 @@
     }
 
     /**
-     * The set of voters changed.
+     * Creates the entry for a change in the set of voters.
      *
-     * @param actor    who asked, or the leader
+     * @param actor    operator who requested it, or the leader
      * @param voter    voter that was added or removed
      * @param version  configuration version at that time
      * @param atMillis wall clock of the leader
--- a/library/src/main/java/org/copperspindle/audit/AuditFilter.java
+++ b/library/src/main/java/org/copperspindle/audit/AuditFilter.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 
 /**
- * Chooses records to show. An absent criterion takes all.
+ * Criteria by which audit records are selected. An absent criterion matches every record.
  *
  * @param actor       operator, process or upstream
  * @param subject     change id, upstream, order id or voter
@@ -22,25 +22,25 @@
         long sinceMillis,
         long untilMillis) {
 
-    /** Takes every record. */
+    /** Matches every record. */
     public static final AuditFilter ALL =
             new AuditFilter(Optional.empty(), Optional.empty(), Optional.empty(), 0, Long.MAX_VALUE, 0, Long.MAX_VALUE);
 
     /**
-     * Says whether a record is wanted.
+     * Returns whether a record matches.
      *
-     * @param entry its facts
+     * @param entry contents of the record
      * @return true if it meets every criterion
      */
     public boolean accepts(AuditEntry entry) {
         return actor.map(entry.actor()::equals).orElse(true)
                 && subject.map(entry.subject()::equals).orElse(true)
                 && kind.map(k -> k == entry.kind()).orElse(true)
-                && within(entry.version(), fromVersion, toVersion)
-                && within(entry.acceptedAtMillis(), sinceMillis, untilMillis);
+                && isBetween(entry.version(), fromVersion, toVersion)
+                && isBetween(entry.acceptedAtMillis(), sinceMillis, untilMillis);
     }
 
-    private static boolean within(long value, long low, long high) {
+    private static boolean isBetween(long value, long low, long high) {
         return value >= low && value <= high;
     }
 }
--- a/library/src/main/java/org/copperspindle/audit/AuditFinding.java
+++ b/library/src/main/java/org/copperspindle/audit/AuditFinding.java
@@ -1,24 +1,24 @@
 package org.copperspindle.audit;
 
 /**
- * What a check of the chain found.
+ * A problem found by verifying the chain.
  */
 public sealed interface AuditFinding {
 
     /**
-     * Returns the finding in words.
+     * Returns a description of the finding.
      *
      * @return one line
      */
     String text();
 
     /**
-     * A record is not what was written, or does not follow the one before.
+     * A record was modified, or does not follow the previous record.
      *
      * @param number number of the record, or the one expected at this place if it can't be read
      * @param file   file name, empty for records read over the network
      * @param offset offset of the record's first byte in the file, -1 for records read over the network
-     * @param reason what is wrong
+     * @param reason description of the problem
      */
     record Changed(long number, String file, long offset, String reason) implements AuditFinding {
         @Override
@@ -29,7 +29,7 @@
     }
 
     /**
-     * Records are not held here; another member may hold them.
+     * Records are missing here; another member may have them.
      *
      * @param first first missing number
      * @param last  last missing number
--- a/library/src/main/java/org/copperspindle/audit/AuditFolder.java
+++ b/library/src/main/java/org/copperspindle/audit/AuditFolder.java
@@ -16,8 +16,8 @@
 import org.copperspindle.wire.MalformedFrameException;
 
 /**
- * Reads the files of a trail. A file is named by the number of its first record; a gap between files is a stretch that
- * this member never held, because it was given a snapshot in its place.
+ * Reads the files of an audit trail. A file is named after the number of its first record. A gap between files is a
+ * range of records that this member never received, because it was sent a snapshot instead.
  */
 public final class AuditFolder {
 
@@ -29,16 +29,16 @@
     /**
      * Creates a reader.
      *
-     * @param folder folder of the files
+     * @param folder directory of the files
      */
     public AuditFolder(Path folder) {
         this.folder = folder;
     }
 
     /**
-     * Reads and verifies everything.
+     * Reads and verifies all files.
      *
-     * @param consumer given each readable record, in order
+     * @param consumer receives each readable record, in order
      * @return the verifier, after the last record
      * @throws IOException if a file can't be read
      */
@@ -53,8 +53,8 @@
     /**
      * Reads one page.
      *
-     * @param after number of the last record that the reader has
-     * @param limit most records to return
+     * @param after number of the last record that the reader already has
+     * @param limit maximum number of records to return
      * @return records with larger numbers, in order
      * @throws IOException if a file can't be read
      */
@@ -62,8 +62,8 @@
         List<AuditRecord> page = new ArrayList<>();
         List<Path> files = files();
         for (int i = 0; i < files.size() && page.size() < limit; i++) {
-            boolean before = i + 1 < files.size() && first(files.get(i + 1)) <= after + 1;
-            if (!before) {
+            boolean skippable = i + 1 < files.size() && first(files.get(i + 1)) <= after + 1;
+            if (!skippable) {
                 scan(files.get(i), new AuditVerifier(), r -> {
                     if (r.number() > after && page.size() < limit) {
                         page.add(r);
@@ -90,11 +90,11 @@
     }
 
     /**
-     * Reads one file until its end or until a frame that can't be passed.
+     * Reads one file up to its end, or up to the first frame that can't be decoded.
      *
      * @param file     the file
-     * @param verifier told of every record
-     * @param consumer given each readable record
+     * @param verifier verifier to which every record is passed
+     * @param consumer receives each readable record
      * @return length of the readable part in bytes
      * @throws IOException if the file can't be read
      */
@@ -111,7 +111,7 @@
         } catch (EOFException e) {
             verifier.unreadable(name, offset, "the file ends within it");
         } catch (MalformedFrameException e) {
-            // Where the next frame starts is not certain any more, so nothing after it in this file is taken.
+            // The start of the next frame is unknown, so the rest of this file is skipped.
             verifier.unreadable(name, offset, e.getMessage());
         }
         return offset;
--- a/library/src/main/java/org/copperspindle/audit/AuditFrame.java
+++ b/library/src/main/java/org/copperspindle/audit/AuditFrame.java
@@ -10,7 +10,7 @@
 import org.copperspindle.wire.MalformedFrameException;
 
 /**
- * One record as it lies in a file: four bytes of length, the encoded record, its SHA-256.
+ * A record as stored in a file: four bytes of length, the encoded record, and its SHA-256.
  *
  * @param record the record
  * @param bytes  length of the whole frame in bytes
@@ -19,7 +19,7 @@
 
     private static final int LENGTH_BYTES = 4;
 
-    /** Above any record that is written; a larger length marks a changed byte. */
+    /** Exceeds the length of any record that is written; a larger length indicates corruption. */
     private static final int MAX_RECORD_BYTES = 1 << 20;
 
     static ByteBuffer encode(AuditRecord record) {
@@ -34,10 +34,10 @@
     /**
      * Reads the next frame.
      *
-     * @param in positioned at a frame or at the end
+     * @param in stream positioned at a frame or at the end of the file
      * @return the frame, empty at the end
      * @throws EOFException            if the file ends within the frame
-     * @throws MalformedFrameException if the frame is not what was written
+     * @throws MalformedFrameException if the frame is corrupt
      * @throws IOException             if the file can't be read
      */
     static Optional<AuditFrame> read(DataInputStream in) throws IOException, MalformedFrameException {
--- a/library/src/main/java/org/copperspindle/audit/AuditHead.java
+++ b/library/src/main/java/org/copperspindle/audit/AuditHead.java
@@ -4,7 +4,7 @@
 import java.util.HexFormat;
 
 /**
- * The end of a chain: equal heads mean equal trails.
+ * The head of an audit chain, which identifies its last record. Equal heads mean equal trails.
  *
  * @param number number of the last record, 0 if there is none
  * @param digest SHA-256 of the last record, zeros if there is none
@@ -25,17 +25,17 @@
     }
 
     /**
-     * Says whether a record comes directly after this head.
+     * Returns whether a record directly follows this head.
      *
      * @param record the record
-     * @return true if its number and its digest of the record before fit
+     * @return true if the number and the digest of the previous record match
      */
     public boolean precedes(AuditRecord record) {
         return record.number() == number + 1 && Arrays.equals(record.previous(), digest);
     }
 
     /**
-     * Returns the digest for people.
+     * Returns the digest in readable form.
      *
      * @return 64 hexadecimal digits
      */
--- a/library/src/main/java/org/copperspindle/audit/AuditKind.java
+++ b/library/src/main/java/org/copperspindle/audit/AuditKind.java
@@ -3,35 +3,35 @@
 import java.util.Locale;
 
 /**
- * What an audit record is about.
+ * The kind of event that an audit record describes.
  */
 public enum AuditKind {
     /** A configuration was accepted. */
     CHANGE,
     /** A configuration is in force at every serving member. */
     IN_FORCE,
-    /** An upstream joined, changed what it serves, or went. */
+    /** An upstream joined, changed what it serves, or left. */
     MEMBERSHIP,
-    /** An order to an engine was given, or ended. */
+    /** An order to an engine was issued, or has ended. */
     ORDER,
     /** The set of voters changed. */
     REPAIR;
 
     /**
-     * Returns the word that operators write.
+     * Returns the label by which operators refer to this kind.
      *
-     * @return lower case, with hyphens
+     * @return the label, in lower case with hyphens
      */
     public String word() {
         return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
     /**
-     * Finds a kind by its word.
+     * Finds a kind by its label.
      *
      * @param word what {@link #word()} returns
      * @return the kind
-     * @throws IllegalArgumentException if there is none of this word
+     * @throws IllegalArgumentException if no kind has this label
      */
     public static AuditKind of(String word) {
         return valueOf(word.toUpperCase(Locale.ROOT).replace('-', '_'));
--- a/library/src/main/java/org/copperspindle/audit/AuditPart.java
+++ b/library/src/main/java/org/copperspindle/audit/AuditPart.java
@@ -9,7 +9,8 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * The audit trail as a part of the replicated state. Takes entries that the leader proposes for what only it can see.
+ * The audit trail as a part of the replicated state. Its commands are entries that the leader proposes for events that
+ * only it can observe.
  */
 public final class AuditPart implements StatePart {
 
@@ -20,7 +21,7 @@
     /**
      * Creates an empty part.
      *
-     * @param sink keeps the records
+     * @param sink sink that stores the records
      */
     public AuditPart(AuditSink sink) {
         this.trail = new AuditTrail(sink);
@@ -36,9 +37,9 @@
     }
 
     /**
-     * Says when the next command was proposed.
+     * Sets the origin of the next command.
      *
-     * @param proposedTerm   the term
+     * @param proposedTerm   term in which it was proposed
      * @param proposedMillis wall clock of the proposer, in milliseconds since 1970
      */
     public void under(long proposedTerm, long proposedMillis) {
@@ -58,7 +59,7 @@
 
     @Override
     public ControlResult apply(long index, WireMessage command) {
-        trail.append(index, term, ((AuditEntry) command).at(atMillis));
+        trail.append(index, term, ((AuditEntry) command).withTime(atMillis));
         return new ControlResult.Done();
     }
 
--- a/library/src/main/java/org/copperspindle/audit/AuditRecord.java
+++ b/library/src/main/java/org/copperspindle/audit/AuditRecord.java
@@ -10,12 +10,12 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * One link of the audit chain.
+ * One record of the hash chain that forms the audit trail.
  *
- * @param number   place in the chain, from 1 without gaps
- * @param index    index of the log record that it follows from
+ * @param number   position in the chain, from 1 without gaps
+ * @param index    index of the log record that it derives from
  * @param term     term of that record
- * @param previous SHA-256 of the encoded record before, zeros for the first
+ * @param previous SHA-256 of the previous encoded record, zeros for the first record
  * @param body     encoded {@link AuditEntry}
  */
 public record AuditRecord(long number, long index, long term, byte[] previous, byte[] body) implements WireMessage {
@@ -28,7 +28,7 @@
     public static final int DIGEST_BYTES = 32;
 
     /**
-     * Returns the facts.
+     * Decodes the contents of the record.
      *
      * @return the entry
      * @throws MalformedFrameException if the body is not an entry
@@ -38,7 +38,7 @@
     }
 
     /**
-     * Returns what the next record must carry.
+     * Returns the digest that the next record must contain.
      *
      * @return SHA-256 of this record's encoding
      */
@@ -50,13 +50,14 @@
      * Hashes an encoded record.
      *
      * @param encoded its bytes
-     * @return SHA-256 of them
+     * @return their SHA-256
      */
     static byte[] sha256(byte[] encoded) {
         try {
             return MessageDigest.getInstance("SHA-256").digest(encoded);
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java platform has SHA-256", e);
+            throw new IllegalStateException(
+                    "SHA-256 is not available, although every Java platform must support it", e);
         }
     }
 
--- a/library/src/main/java/org/copperspindle/audit/AuditSink.java
+++ b/library/src/main/java/org/copperspindle/audit/AuditSink.java
@@ -1,15 +1,15 @@
 package org.copperspindle.audit;
 
 /**
- * Where records go once they have their place in the chain. Called on the decision ring; must not block.
+ * Stores the records that have been added to the chain. Called on the decision ring; must not block.
  */
 public interface AuditSink {
 
-    /** Keeps nothing. For members without a data folder and for tests of other slices. */
+    /** Discards all records; for members without a data directory, and for tests of other parts. */
     AuditSink NONE = new AuditSink() {
         @Override
         public void append(AuditRecord record) {
-            // nothing is kept
+            // records are discarded
         }
 
         @Override
@@ -19,16 +19,16 @@
     };
 
     /**
-     * Takes a record. A record that is already kept is skipped, so that replaying the log is harmless.
+     * Stores a record. A record that is already stored is skipped, so that replaying the log is idempotent.
      *
      * @param record the record
      */
     void append(AuditRecord record);
 
     /**
-     * Returns how far the records are on disk.
+     * Returns up to which record the trail is durable.
      *
-     * @return number of the last record that is synced
+     * @return number of the last record that is synced to disk
      */
     long durable();
 }
--- a/library/src/main/java/org/copperspindle/audit/AuditStore.java
+++ b/library/src/main/java/org/copperspindle/audit/AuditStore.java
@@ -12,29 +12,30 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * The trail's files, written and read on a thread of their own so that the decision ring never waits for the disk. The
- * log is what makes records survive; the files only have to catch up with it, and are synced once the queue is empty.
+ * Writes and reads the files of the audit trail on a separate thread, so that the decision ring never waits for the
+ * disk. The replicated log provides durability: the files only have to catch up with it, and are synced once the write
+ * queue is empty.
  */
 public final class AuditStore implements AuditSink, AutoCloseable {
 
     private static final Logger LOGGER = LogManager.getLogger(AuditStore.class);
 
-    /** A page reads one file at most twice over, so its cost does not grow with the trail. */
+    /** Maximum length of a file. A page reads at most about two files, so its cost does not grow with the trail. */
     private static final long MAX_FILE_BYTES = 4 << 20;
 
-    private static final int CLOSE_SECONDS = 10;
+    private static final int CLOSE_TIMEOUT_SECONDS = 10;
 
     private final AuditWriter writer;
     private final AuditFolder files;
-    private final ThreadPoolExecutor disk;
+    private final ThreadPoolExecutor diskExecutor;
     private volatile long durable;
-    private boolean failing;
+    private boolean writeFailed;
 
     /**
      * Opens the store.
      *
-     * @param folder folder of the files
-     * @throws IOException if the folder can't be used
+     * @param folder directory of the files
+     * @throws IOException if the directory can't be used
      */
     public AuditStore(Path folder) throws IOException {
         this(folder, MAX_FILE_BYTES);
@@ -44,7 +45,7 @@
         this.writer = new AuditWriter(folder, maxFileBytes);
         this.files = new AuditFolder(folder);
         this.durable = writer.head().number();
-        this.disk = new ThreadPoolExecutor(1, 1, 0, TimeUnit.SECONDS, new LinkedBlockingQueue<>(), task -> {
+        this.diskExecutor = new ThreadPoolExecutor(1, 1, 0, TimeUnit.SECONDS, new LinkedBlockingQueue<>(), task -> {
             Thread thread = new Thread(task, "audit-disk");
             thread.setDaemon(true);
             return thread;
@@ -53,7 +54,7 @@
 
     @Override
     public void append(AuditRecord record) {
-        disk.execute(() -> write(record));
+        diskExecutor.execute(() -> write(record));
     }
 
     @Override
@@ -62,14 +63,14 @@
     }
 
     /**
-     * Reads one page, after every record taken so far is written.
+     * Reads one page, once all records appended so far are written.
      *
-     * @param after    number of the last record that the reader has
-     * @param limit    most records to return
-     * @param callback given the records, on the disk thread; empty if the files can't be read
+     * @param after    number of the last record that the reader already has
+     * @param limit    maximum number of records to return
+     * @param callback receives the records on the disk thread; empty if the files can't be read
      */
     public void page(long after, int limit, Consumer<List<AuditRecord>> callback) {
-        disk.execute(() -> {
+        diskExecutor.execute(() -> {
             try {
                 callback.accept(files.page(after, limit));
             } catch (IOException e) {
@@ -81,9 +82,9 @@
 
     @Override
     public void close() {
-        disk.shutdown();
+        diskExecutor.shutdown();
         try {
-            if (!disk.awaitTermination(CLOSE_SECONDS, TimeUnit.SECONDS)) {
+            if (!diskExecutor.awaitTermination(CLOSE_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
                 LOGGER.error("event=audit-close-timeout");
                 return;
             }
@@ -96,18 +97,18 @@
     }
 
     private void write(AuditRecord record) {
-        if (failing) {
-            // Later records would follow a hole. They are made again from the log after a restart.
+        if (writeFailed) {
+            // Writing later records would leave a gap. They are recreated from the log after a restart.
             return;
         }
         try {
             writer.append(record);
-            if (disk.getQueue().isEmpty()) {
+            if (diskExecutor.getQueue().isEmpty()) {
                 writer.force();
                 durable = writer.head().number();
             }
         } catch (IOException e) {
-            failing = true;
+            writeFailed = true;
             LOGGER.error("event=audit-write-failed number={} reason=\"{}\"", record.number(), e.getMessage());
         }
     }
--- a/library/src/main/java/org/copperspindle/audit/AuditTrail.java
+++ b/library/src/main/java/org/copperspindle/audit/AuditTrail.java
@@ -14,18 +14,21 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * The audit chain as part of the replicated state: each member makes the same records from the same log. Holds the
- * chain's head and its newest records; the whole trail is in files. Runs on the decision ring.
+ * The audit chain as part of the replicated state: every member derives the same records from the same log. Holds the
+ * head of the chain and its newest records; the complete trail is stored in files. Runs on the decision ring.
  */
 public final class AuditTrail {
 
     private static final Logger LOGGER = LogManager.getLogger(AuditTrail.class);
 
-    /** Records kept for snapshots even when they are on disk here: another member may lack them. */
-    private static final int RECENT = 256;
+    /**
+     * Number of newest records retained for snapshots even after they are durable here, because another member may miss
+     * them.
+     */
+    private static final int MIN_RETAINED = 256;
 
-    /** Bounds memory when the disk takes nothing for long. */
-    private static final int MOST_WAITING = 16_384;
+    /** Bounds memory while the disk is stalled. */
+    private static final int MAX_RETAINED = 16_384;
 
     private final AuditSink sink;
     private final Deque<AuditRecord> recent = new ArrayDeque<>();
@@ -34,30 +37,30 @@
     /**
      * Creates an empty trail.
      *
-     * @param sink keeps the records
+     * @param sink sink that stores the records
      */
     public AuditTrail(AuditSink sink) {
         this.sink = sink;
     }
 
     /**
-     * Adds a record.
+     * Appends a record.
      *
-     * @param index index of the log record that it follows from
+     * @param index index of the log record that it derives from
      * @param term  term of that record
-     * @param entry the facts
+     * @param entry contents of the record
      * @return the record
      */
     public AuditRecord append(long index, long term, AuditEntry entry) {
         AuditRecord record =
                 new AuditRecord(head.number() + 1, index, term, head.digest(), AuditEntry.CODEC.encode(entry));
         head = AuditHead.after(record);
-        keep(record);
+        retain(record);
         return record;
     }
 
     /**
-     * Returns the end of the chain.
+     * Returns the head of the chain.
      *
      * @return the head
      */
@@ -76,10 +79,10 @@
     }
 
     /**
-     * Takes over the trail of a snapshot.
+     * Replaces the trail by that of a snapshot.
      *
-     * @param snapshot what {@link #snapshot()} made
-     * @throws MalformedFrameException if the bytes are something else
+     * @param snapshot bytes from {@link #snapshot()}
+     * @throws MalformedFrameException if the bytes can't be decoded
      */
     public void restore(byte[] snapshot) throws MalformedFrameException {
         Snapshot decoded = Snapshot.CODEC.decode(snapshot);
@@ -89,30 +92,31 @@
         }
         head = new AuditHead(decoded.number(), decoded.digest());
         recent.clear();
-        records.forEach(this::keep);
+        records.forEach(this::retain);
     }
 
-    /** Empties the trail, as before the first record; what is in files stays there. */
+    /** Resets the trail to the state before the first record; the files remain. */
     void clear() {
         head = AuditHead.EMPTY;
         recent.clear();
     }
 
-    private void keep(AuditRecord record) {
+    private void retain(AuditRecord record) {
         recent.add(record);
         sink.append(record);
-        // A crash may take away records that the disk has not synced, and a snapshot may have cut the log that would
-        // make them again: the trail would have a hole. Snapshots therefore carry every record not yet synced.
-        while (recent.size() > RECENT && recent.peek().number() <= sink.durable()) {
+        // A crash may lose records that are not synced to disk, and a snapshot may already have truncated the log from
+        // which they could be recreated, which would leave a gap in the trail. Snapshots therefore contain every record
+        // that is not yet synced.
+        while (recent.size() > MIN_RETAINED && recent.peek().number() <= sink.durable()) {
             recent.remove();
         }
-        if (recent.size() > MOST_WAITING) {
-            AuditRecord lost = recent.remove();
-            LOGGER.error("event=audit-record-dropped number={} reason=disk-behind", lost.number());
+        if (recent.size() > MAX_RETAINED) {
+            AuditRecord dropped = recent.remove();
+            LOGGER.error("event=audit-record-dropped number={} reason=disk-behind", dropped.number());
         }
     }
 
-    /** The trail's part of a snapshot. */
+    /** Snapshot of the trail. */
     private record Snapshot(long number, byte[] digest, List<byte[]> records) implements WireMessage {
 
         private static final MessageCodec<Snapshot> CODEC =
--- a/library/src/main/java/org/copperspindle/audit/AuditVerifier.java
+++ b/library/src/main/java/org/copperspindle/audit/AuditVerifier.java
@@ -5,7 +5,7 @@
 import java.util.List;
 
 /**
- * Follows a chain record by record.
+ * Verifies a chain record by record.
  */
 public final class AuditVerifier {
 
@@ -13,13 +13,13 @@
     private AuditHead head = AuditHead.EMPTY;
     private long checked;
 
-    /** The digest of the record before is not known, because that record could not be read. */
-    private boolean unlinked;
+    /** Whether the digest of the previous record is unknown, because that record could not be read. */
+    private boolean previousUnreadable;
 
     /**
-     * Checks that a record follows the ones before.
+     * Verifies that a record follows the previous ones.
      *
-     * @param record the record, already found equal to its own digest
+     * @param record record that has been verified against its own digest
      * @param file   file name, empty if there is none
      * @param offset offset of its frame, -1 if there is none
      */
@@ -27,53 +27,53 @@
         if (record.number() > head.number() + 1) {
             findings.add(new AuditFinding.Missing(head.number() + 1, record.number() - 1));
         } else if (record.number() <= head.number()) {
-            changed(record.number(), file, offset, "follows record " + head.number());
-        } else if (!unlinked && !Arrays.equals(record.previous(), head.digest())) {
-            changed(record.number(), file, offset, "does not carry the digest of record " + head.number());
+            addChanged(record.number(), file, offset, "follows record " + head.number());
+        } else if (!previousUnreadable && !Arrays.equals(record.previous(), head.digest())) {
+            addChanged(record.number(), file, offset, "does not carry the digest of record " + head.number());
         }
-        unlinked = false;
+        previousUnreadable = false;
         head = AuditHead.after(record);
         checked++;
     }
 
     /**
-     * Notes a record that can't be read.
+     * Adds a finding for a record that can't be read.
      *
      * @param file   file name
      * @param offset offset of its frame
-     * @param reason what is wrong
+     * @param reason description of the problem
      */
     public void unreadable(String file, long offset, String reason) {
-        changed(head.number() + 1, file, offset, reason);
+        addChanged(head.number() + 1, file, offset, reason);
         head = new AuditHead(head.number() + 1, head.digest());
-        unlinked = true;
+        previousUnreadable = true;
     }
 
     /**
-     * Compares the chain's end with the end that a member holds in its replicated state. A trail that was changed and
-     * hashed anew from there on is whole in itself, and only differs from the others here.
+     * Compares the head of the chain with the head in a member's replicated state. A trail that was modified and
+     * rehashed from there on is consistent in itself, and is only detected by this comparison.
      *
-     * @param expected the member's head
+     * @param expected head in the member's replicated state
      */
     public void finish(AuditHead expected) {
         if (head.number() < expected.number()) {
             findings.add(new AuditFinding.Missing(head.number() + 1, expected.number()));
         } else if (head.number() == expected.number() && !head.equals(expected)) {
-            changed(head.number(), "", -1, "its digest is not the one in the replicated state");
+            addChanged(head.number(), "", -1, "its digest is not the one in the replicated state");
         }
     }
 
     /**
-     * Returns what was found.
+     * Returns the findings.
      *
-     * @return empty for a whole chain
+     * @return empty if the chain is intact
      */
     public List<AuditFinding> findings() {
         return List.copyOf(findings);
     }
 
     /**
-     * Returns the chain's end so far.
+     * Returns the head of the chain so far.
      *
      * @return the head
      */
@@ -82,7 +82,7 @@
     }
 
     /**
-     * Returns how many records were followed.
+     * Returns how many records were verified.
      *
      * @return a count
      */
@@ -90,7 +90,7 @@
         return checked;
     }
 
-    private void changed(long number, String file, long offset, String reason) {
+    private void addChanged(long number, String file, long offset, String reason) {
         findings.add(new AuditFinding.Changed(number, file, offset, reason));
     }
 }
--- a/library/src/main/java/org/copperspindle/audit/AuditWriter.java
+++ b/library/src/main/java/org/copperspindle/audit/AuditWriter.java
@@ -13,7 +13,7 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Appends records to the files of a trail. Owned by one thread.
+ * Appends records to the files of an audit trail. Used by a single thread.
  */
 final class AuditWriter implements AutoCloseable {
 
@@ -26,11 +26,11 @@
     private FileChannel channel;
 
     /**
-     * Opens the trail and cuts off a record that a crash left half written.
+     * Opens the trail and truncates a record that a crash left partially written.
      *
-     * @param folder       folder of the files, made if it is missing
-     * @param maxFileBytes length after which a new file is begun
-     * @throws IOException if the folder can't be used
+     * @param folder       directory of the files, created if missing
+     * @param maxFileBytes length in bytes after which a new file is started
+     * @throws IOException if the directory can't be used
      */
     AuditWriter(Path folder, long maxFileBytes) throws IOException {
         this.folder = folder;
@@ -48,23 +48,23 @@
     }
 
     /**
-     * Appends a record unless it is here already.
+     * Appends a record unless it is already stored.
      *
      * @param record the record
-     * @throws IOException if it can't be written; the file then ends before it
+     * @throws IOException if it can't be written; the file then ends before the record
      */
     void append(AuditRecord record) throws IOException {
         if (record.number() <= head.number()) {
             return;
         }
         if (!head.precedes(record)) {
-            // A snapshot stood in for the records between, or this disk holds another history. Either way the new
-            // record must not look as if it followed the old one, so it starts a file of its own.
+            // The records in between were replaced by a snapshot, or this disk contains a different history. In both
+            // cases the new record must not appear to follow the old one, so it starts a new file.
             LOGGER.warn("event=audit-gap last={} next={}", head.number(), record.number());
             close();
         }
         if (channel == null || channel.position() >= maxFileBytes) {
-            begin(record.number());
+            startFile(record.number());
         }
         write(AuditFrame.encode(record));
         head = AuditHead.after(record);
@@ -87,16 +87,16 @@
 
     private void recover(Path last) throws IOException {
         AuditVerifier verifier = new AuditVerifier();
-        AuditHead[] readable = {AuditHead.EMPTY};
-        long length = AuditFolder.scan(last, verifier, r -> readable[0] = AuditHead.after(r));
-        head = readable[0];
+        AuditHead[] lastReadable = {AuditHead.EMPTY};
+        long length = AuditFolder.scan(last, verifier, r -> lastReadable[0] = AuditHead.after(r));
+        head = lastReadable[0];
         if (length < Files.size(last)) {
             LOGGER.warn(
                     "event=audit-file-cut file={} length={} {}",
                     last.getFileName(),
                     length,
                     verifier.findings().get(verifier.findings().size() - 1).text());
-            // Evidence stays: the file as it was found is kept beside the readable part.
+            // Preserves the evidence: the original file is kept next to the readable part.
             Files.copy(last, last.resolveSibling(last.getFileName() + ".damaged"), StandardCopyOption.REPLACE_EXISTING);
             AuditFolder.cut(last, length);
         }
@@ -108,12 +108,12 @@
         channel.position(length);
     }
 
-    private void begin(long number) throws IOException {
+    private void startFile(long number) throws IOException {
         close();
         Path file = files.file(number);
-        // A file of this name is one whose first record was damaged; what is left of it stays as evidence beside it.
+        // An earlier file of this name had a damaged first record; its copy remains next to the new file as evidence.
         channel = FileChannel.open(file, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
-        // Without syncing the folder a crash can lose the file's name with all that was synced into it.
+        // Without a sync of the directory, a crash can lose the file's directory entry and with it all synced contents.
         try (FileChannel directory = FileChannel.open(folder)) {
             directory.force(true);
         }
--- a/library/src/main/java/org/copperspindle/audit/ConfigDifference.java
+++ b/library/src/main/java/org/copperspindle/audit/ConfigDifference.java
@@ -9,20 +9,23 @@
 import java.util.regex.Pattern;
 
 /**
- * Says which sections and keys differ between two configurations, without showing secrets.
+ * Lists the sections and keys that differ between two configurations, without revealing secrets.
  */
 public final class ConfigDifference {
 
-    /** Both separators that the INI library takes: a key that swallowed its value would show a secret. */
+    /**
+     * Both separators that the INI library accepts. If one were missed, the value would count as part of the key, and a
+     * secret would be revealed.
+     */
     private static final Pattern SEPARATOR = Pattern.compile("\\s*[=:]\\s*");
 
     private static final int MAX_LINES = 64;
-    private static final int MAX_VALUE = 64;
-    private static final int DIGEST_SHOWN = 8;
+    private static final int MAX_VALUE_LENGTH = 64;
+    private static final int SHOWN_DIGEST_LENGTH = 8;
     private static final List<String> SECRET_WORDS = List.of("key", "secret", "token", "password");
 
     private final List<String> lines = new ArrayList<>();
-    private int left;
+    private int omitted;
 
     private ConfigDifference() {}
 
@@ -31,7 +34,8 @@
      *
      * @param before the older one
      * @param after  the newer one
-     * @return one line for each section or key that differs, sorted, at most a fixed number and then a count
+     * @return one line for each section or key that differs, sorted; after a fixed number of lines the rest is counted
+     *     in a last line
      */
     public static List<String> between(String before, String after) {
         ConfigDifference difference = new ConfigDifference();
@@ -40,8 +44,8 @@
     }
 
     /**
-     * Splits lines into sections, keys and values. Both texts were checked by the settings package before they were
-     * proposed. Reading them with its INI library again would hold the decision ring up for seconds at the design size.
+     * Splits a text into sections, keys and values. Both texts were validated by the settings package before they were
+     * proposed. Parsing them again with its INI library would block the decision ring for seconds at the design size.
      */
     private static Map<String, Map<String, String>> values(String text) {
         Map<String, Map<String, String>> sections = new HashMap<>();
@@ -62,9 +66,9 @@
         sections.addAll(after.keySet());
         for (String section : sections) {
             if (!before.containsKey(section)) {
-                add("+ [" + section + "]");
+                addLine("+ [" + section + "]");
             } else if (!after.containsKey(section)) {
-                add("- [" + section + "]");
+                addLine("- [" + section + "]");
             } else {
                 compareKeys(section, before.get(section), after.get(section));
             }
@@ -78,36 +82,36 @@
             String old = before.get(key);
             String now = after.get(key);
             if (old == null || !old.equals(now)) {
-                add("~ [" + section + "] " + key + ": " + shown(key, old) + " -> " + shown(key, now));
+                addLine("~ [" + section + "] " + key + ": " + displayValue(key, old) + " -> " + displayValue(key, now));
             }
         }
     }
 
-    private void add(String line) {
+    private void addLine(String line) {
         if (lines.size() < MAX_LINES) {
             lines.add(line);
         } else {
-            left++;
+            omitted++;
         }
     }
 
     private List<String> result() {
-        if (left > 0) {
-            lines.add("and " + left + " more");
+        if (omitted > 0) {
+            lines.add("and " + omitted + " more");
         }
         return List.copyOf(lines);
     }
 
-    private static String shown(String key, String value) {
+    private static String displayValue(String key, String value) {
         if (value == null) {
             return "(none)";
         }
         String lower = key.toLowerCase(Locale.ROOT);
         boolean secret = SECRET_WORDS.stream().anyMatch(lower::contains);
-        int longest = secret ? DIGEST_SHOWN : MAX_VALUE;
+        int maxLength = secret ? SHOWN_DIGEST_LENGTH : MAX_VALUE_LENGTH;
         if (secret && !lower.contains("sha256")) {
             return "(hidden)";
         }
-        return value.length() <= longest ? value : value.substring(0, longest) + "...";
+        return value.length() <= maxLength ? value : value.substring(0, maxLength) + "...";
     }
 }
--- a/library/src/main/java/org/copperspindle/audit/package-info.java
+++ b/library/src/main/java/org/copperspindle/audit/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Hash-chained trail of changes, orders, membership and repairs, derived from the replicated log.
+ * Hash-chained audit trail of configuration changes, orders, membership and voter repairs, derived from the replicated
+ * log.
  */
 package org.copperspindle.audit;
--- a/library/src/test/java/org/copperspindle/audit/AuditTrailTest.java
+++ b/library/src/test/java/org/copperspindle/audit/AuditTrailTest.java
@@ -19,7 +19,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * The chain on disk: changed bytes, crashes, replays and snapshots.
+ * Tests the chain on disk: modified bytes, crashes, replays and snapshots.
  */
 class AuditTrailTest {
 
@@ -30,12 +30,12 @@
     private Path folder;
 
     /**
-     * Somebody edits the trail of one member to hide a change. The operator runs the check; it names the record and
-     * where it lies, because each frame carries its digest and each record the digest of the one before.
+     * A byte in the trail of one member is modified to hide a change. Verification reports the record and its offset,
+     * because each frame contains its digest and each record the digest of the previous one.
      */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 7, 39})
-    void changedByteIsFoundAndNamed(int record) throws Exception {
+    void modifiedByteIsReported(int record) throws Exception {
         List<AuditRecord> written = write(folder, RECORDS, Long.MAX_VALUE);
         long offset = written.stream()
                 .limit(record)
@@ -60,13 +60,13 @@
     }
 
     /**
-     * Somebody changes a record and computes its digest anew, so that it is whole in itself. The record after it still
-     * carries the digest of the original, and is named as the first that does not follow.
+     * A record is modified and its digest recomputed, so that it is consistent in itself. The next record still
+     * contains the digest of the original, and is reported as the first that does not follow.
      */
     @Test
-    void changedRecordWithFreshDigestBreaksTheLink() throws Exception {
+    void modifiedRecordWithNewDigestBreaksTheChain() throws Exception {
         List<AuditRecord> written = write(folder, RECORDS, Long.MAX_VALUE);
-        written.set(4, relabelled(written.get(4)));
+        written.set(4, withOtherContents(written.get(4)));
         rewrite(written);
 
         assertThat(verify(folder).findings())
@@ -78,8 +78,8 @@
     }
 
     /**
-     * Somebody changes a record and computes the whole chain anew from there. The files are whole in themselves; only
-     * the head in the replicated state, which every other member holds too, tells the two histories apart.
+     * A record is modified and the chain recomputed from there on. The files are consistent in themselves; only the
+     * head in the replicated state, which every other member holds too, reveals the difference.
      */
     @Test
     void rewrittenChainDiffersFromTheReplicatedHead() throws Exception {
@@ -100,11 +100,11 @@
     }
 
     /**
-     * The VM loses power while a record is being written, at every possible byte. After the restart the half record is
-     * cut off, the log is replayed from its start, and the trail is whole with every record once.
+     * The VM loses power while a record is being written, at every possible byte. After the restart the partial record
+     * is truncated, the log is replayed from its start, and the trail contains every record exactly once.
      */
     @Test
-    void tornRecordIsCutAndReplayedOnce() throws Exception {
+    void partialRecordIsTruncatedAndReplayedOnce() throws Exception {
         List<AuditRecord> written = write(folder, 3, Long.MAX_VALUE);
         Path file = new AuditFolder(folder).files().get(0);
         byte[] whole = Files.readAllBytes(file);
@@ -121,8 +121,8 @@
     }
 
     /**
-     * A member restarts and replays its whole log, after its trail has grown over several files. Every record is there
-     * already: the files stay as they are, byte for byte.
+     * A member restarts and replays its whole log when its trail spans several files. Every record is already stored,
+     * so the files stay identical byte for byte.
      */
     @Test
     void replayChangesNothing() throws Exception {
@@ -135,11 +135,11 @@
     }
 
     /**
-     * The first record of the newest file is damaged, so that nothing in the file can be trusted. The member writes the
-     * records of the replayed log into a fresh file of that name and keeps the damaged one beside it.
+     * The first record of the newest file is damaged, so nothing in the file can be trusted. The member writes the
+     * records of the replayed log into a new file of that name and keeps the damaged file next to it.
      */
     @Test
-    void damagedFileIsSetAsideAndWrittenAnew() throws Exception {
+    void damagedFileIsKeptAndReplaced() throws Exception {
         write(folder, RECORDS, SMALL_FILE);
         Map<Path, String> before = contents();
         List<Path> files = new AuditFolder(folder).files();
@@ -155,11 +155,11 @@
     }
 
     /**
-     * A member loses what its disk had not synced, after a snapshot had already cut the log behind it. The records come
-     * back from the snapshot, so that the trail has no hole.
+     * A member loses records that its disk had not synced, after a snapshot had already truncated the log. The records
+     * are restored from the snapshot, so that the trail has no gap.
      */
     @Test
-    void snapshotCarriesRecordsThatTheDiskLost() throws Exception {
+    void snapshotRestoresRecordsThatTheDiskLost() throws Exception {
         LosingSink sink = new LosingSink();
         AuditTrail trail = new AuditTrail(sink);
         for (int i = 0; i < 1000; i++) {
@@ -183,11 +183,11 @@
     }
 
     /**
-     * A new voter is given a snapshot in place of a long log. Its trail starts late: the check says which records are
-     * not held there, and finds nothing changed.
+     * A new voter receives a snapshot instead of a long log, so its trail starts late. Verification reports which
+     * records are missing there, and no modified ones.
      */
     @Test
-    void lateMemberNamesWhatItNeverHeld() throws Exception {
+    void lateMemberReportsMissingRecords() throws Exception {
         AuditTrail trail = new AuditTrail(AuditSink.NONE);
         for (int i = 0; i < 1000; i++) {
             trail.append(i + 1, 1, entry("ann", i));
@@ -205,7 +205,7 @@
     }
 
     @Test
-    void pagesCrossFiles() throws Exception {
+    void pagesSpanFiles() throws Exception {
         List<AuditRecord> written = write(folder, RECORDS, SMALL_FILE);
         assertThat(new AuditFolder(folder).files()).hasSizeGreaterThan(2);
         List<Long> read = new ArrayList<>();
@@ -250,7 +250,7 @@
         return new AuditFolder(folder).verify(r -> {});
     }
 
-    private static AuditRecord relabelled(AuditRecord r) {
+    private static AuditRecord withOtherContents(AuditRecord r) {
         return new AuditRecord(r.number(), r.index(), r.term(), r.previous(), AuditEntry.CODEC.encode(entry("x", 0)));
     }
 
@@ -258,7 +258,7 @@
         return new AuditEntry(AuditKind.CHANGE, actor, "c" + i, i, i + 1, 1000L * i, List.of("~ [deployment] name"));
     }
 
-    /** Remembers what it was given; its disk is as far as the test says. */
+    /** Records what is appended; the test sets up to which record it counts as durable. */
     private static final class LosingSink implements AuditSink {
         private final List<AuditRecord> records = new ArrayList<>();
         private long durable;
--- a/library/src/test/java/org/copperspindle/audit/AuditedStateTest.java
+++ b/library/src/test/java/org/copperspindle/audit/AuditedStateTest.java
@@ -18,7 +18,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * The records that the replicated state derives from its log.
+ * Tests the audit records that the replicated state derives from its log.
  */
 class AuditedStateTest {
 
@@ -30,8 +30,8 @@
     private final List<byte[]> log = new ArrayList<>();
 
     /**
-     * Two members with wrong clocks of their own apply the same log, one of them from a snapshot in its middle. Both
-     * hold the same chain, with the leader's time in it: an operator may ask either.
+     * Two members with wrong local clocks apply the same log, one of them from a snapshot in its middle. Both hold the
+     * same chain with the time of the leader, so an operator may query either.
      */
     @Test
     void membersHoldTheSameChain() {
@@ -52,11 +52,12 @@
     }
 
     /**
-     * An operator loses the answer and resends the change twice, another loses the race for the same base, and an
-     * announcement arrives twice and late. Each accepted change and each real change of membership has one record.
+     * An operator loses the response and retries a change, another loses the race for the same base version, and an
+     * announcement arrives twice and late. Each accepted change and each actual change of membership has exactly one
+     * record.
      */
     @Test
-    void whatChangedNothingLeavesNoRecord() throws Exception {
+    void commandsWithoutEffectLeaveNoRecord() throws Exception {
         propose(new ApplyConfigCommand("c1", 0, "ann", FIRST));
         propose(new ApplyConfigCommand("c1", 0, "ann", FIRST));
         propose(new ApplyConfigCommand("c9", 0, "ben", SECOND));
@@ -68,14 +69,14 @@
         List<AuditRecord> records = new ArrayList<>();
         apply(new ControlState(sink(records), Clock.systemUTC()), 0);
 
-        List<String> words = new ArrayList<>();
+        List<String> descriptions = new ArrayList<>();
         for (AuditRecord record : records) {
             AuditEntry entry = record.entry();
             assertThat(entry.acceptedAtMillis()).isEqualTo(AT.toEpochMilli());
-            words.add(record.index() + " " + entry.kind().word() + " " + entry.actor() + " " + entry.details());
+            descriptions.add(record.index() + " " + entry.kind().word() + " " + entry.actor() + " " + entry.details());
         }
 
-        assertThat(words)
+        assertThat(descriptions)
                 .containsExactly(
                         "1 change ann [+ [deployment]]",
                         "4 membership engine-1 [joined pool=engines failure-domain=north, models=llm-1, draining]",
--- a/library/src/test/java/org/copperspindle/audit/ConfigDifferenceTest.java
+++ b/library/src/test/java/org/copperspindle/audit/ConfigDifferenceTest.java
@@ -5,14 +5,14 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * What the trail shows of a change.
+ * Tests how the audit trail describes a configuration change.
  */
 class ConfigDifferenceTest {
 
     private static final String DIGEST = "0123456789abcdef".repeat(4);
 
     @Test
-    void namesSectionsAndKeys() {
+    void listsSectionsAndKeys() {
         String before = "[deployment]\nname = a\n[pool x]\nsize = 1\n[pool gone]\nsize = 2\n";
         String after = "[deployment]\nname = a\n[pool x]\nsize = 3\nkind = engine\n[pool new]\nsize = 4\n";
 
