--- a/tools/src/main/java/org/copperspindle/capacity/Await.java
+++ b/tools/src/main/java/org/copperspindle/capacity/Await.java
@@ -7,21 +7,21 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Waits of the measurements.
+ * Waits for conditions during measurements.
  */
 final class Await {
 
-    private static final long POLL_MILLIS = 1;
+    private static final long POLL_INTERVAL_MILLIS = 1;
 
     private Await() {}
 
     /**
      * Waits for a condition.
      *
-     * @param what      the condition in words
-     * @param limit     longest wait
+     * @param what      description of the condition for the error message
+     * @param limit     time limit
      * @param condition the condition
-     * @throws TimeoutException     if it does not come true
+     * @throws TimeoutException     if the condition is not met in time
      * @throws InterruptedException if the wait is interrupted
      */
     static void until(String what, Duration limit, BooleanSupplier condition)
@@ -29,16 +29,16 @@
         long end = System.nanoTime() + limit.toNanos();
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() > end) {
-                throw new TimeoutException("waited " + limit.toSeconds() + " s for: " + what);
+                throw new TimeoutException("timed out after " + limit.toSeconds() + " s waiting for: " + what);
             }
-            pause(Duration.ofMillis(POLL_MILLIS));
+            pause(Duration.ofMillis(POLL_INTERVAL_MILLIS));
         }
     }
 
     /**
-     * Lets time pass.
+     * Waits for a fixed time.
      *
-     * @param time how long
+     * @param time duration of the wait
      * @throws InterruptedException if the wait is interrupted
      */
     static void pause(Duration time) throws InterruptedException {
--- a/tools/src/main/java/org/copperspindle/capacity/CapacityProbe.java
+++ b/tools/src/main/java/org/copperspindle/capacity/CapacityProbe.java
@@ -3,23 +3,23 @@
 import java.util.List;
 
 /**
- * One measurement. Probes run one after another in a process that does nothing else.
+ * A capacity measurement. Probes run one at a time in an otherwise idle process.
  */
 public interface CapacityProbe {
 
     /**
      * Returns the name that selects the probe on the command line.
      *
-     * @return a short word
+     * @return a short name
      */
     String name();
 
     /**
-     * Measures.
+     * Runs the measurement.
      *
-     * @param progress told what is being done
-     * @return one or more lines
-     * @throws Exception if a stand-in fails
+     * @param progress receives a description of each step
+     * @return one or more linear fits
+     * @throws Exception if a stand-in component fails
      */
     List<CapacitySlope> measure(ProbeProgress progress) throws Exception;
 }
--- a/tools/src/main/java/org/copperspindle/capacity/CapacityProbeFactory.java
+++ b/tools/src/main/java/org/copperspindle/capacity/CapacityProbeFactory.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * All measurements, in the order in which they run.
+ * Creates all capacity probes, in the order in which they run.
  */
 public final class CapacityProbeFactory {
 
     private CapacityProbeFactory() {}
 
     /**
-     * Makes the measurements.
+     * Creates the probes.
      *
      * @return one probe of each kind
      */
@@ -19,9 +19,9 @@
     }
 
     /**
-     * Returns the names that select a measurement.
+     * Returns the names that select a probe on the command line.
      *
-     * @return one for each probe
+     * @return one name for each probe
      */
     public static List<String> names() {
         return all().stream().map(CapacityProbe::name).toList();
--- a/tools/src/main/java/org/copperspindle/capacity/CapacitySlope.java
+++ b/tools/src/main/java/org/copperspindle/capacity/CapacitySlope.java
@@ -5,7 +5,7 @@
 import org.apache.commons.math3.stat.regression.SimpleRegression;
 
 /**
- * A straight line through measured points.
+ * A linear regression over measured points.
  *
  * @param name   what was measured
  * @param xUnit  unit of the horizontal axis
@@ -15,7 +15,7 @@
 public record CapacitySlope(String name, String xUnit, String yUnit, List<Point> points) {
 
     /**
-     * Returns the growth of y for one more x.
+     * Returns the increase of y per unit of x.
      *
      * @return the slope
      */
@@ -33,7 +33,7 @@
     }
 
     /**
-     * Returns how well the line fits.
+     * Returns the goodness of the fit.
      *
      * @return coefficient of determination, 1 for a perfect line
      */
@@ -50,8 +50,8 @@
     /**
      * One measured point.
      *
-     * @param x the size
-     * @param y what it cost
+     * @param x the load or size
+     * @param y the measured cost
      */
     public record Point(double x, double y) {}
 }
--- a/tools/src/main/java/org/copperspindle/capacity/FleetViewProbe.java
+++ b/tools/src/main/java/org/copperspindle/capacity/FleetViewProbe.java
@@ -9,11 +9,11 @@
 import org.copperspindle.routing.FleetView;
 
 /**
- * What an entry holds and reads for the upstreams that it knows: live heap, and bytes of a whole membership update.
+ * Measures the heap that an entry needs for its view of the upstreams, and the size of a full membership update.
  */
 final class FleetViewProbe implements CapacityProbe {
 
-    private static final int[] UPSTREAMS = {500, 1000, 2000, 4300};
+    private static final int[] UPSTREAM_COUNTS = {500, 1000, 2000, 4300};
 
     @Override
     public String name() {
@@ -24,23 +24,23 @@
     public List<CapacitySlope> measure(ProbeProgress progress) {
         List<CapacitySlope.Point> heap = new ArrayList<>();
         List<CapacitySlope.Point> bytes = new ArrayList<>();
-        List<FleetView> kept = new ArrayList<>();
-        // A first round loads classes and grows tables, so that the measured rounds differ in size only.
-        kept.add(new FleetView());
-        kept.get(0).update(update(UPSTREAMS[0]));
+        List<FleetView> retainedViews = new ArrayList<>();
+        // A warm-up round loads classes and grows hash tables, so that the measured rounds differ in size only.
+        retainedViews.add(new FleetView());
+        retainedViews.get(0).update(update(UPSTREAM_COUNTS[0]));
         HeapMeter.liveBytes();
-        for (int upstreams : UPSTREAMS) {
+        for (int upstreams : UPSTREAM_COUNTS) {
             progress.step("membership of " + upstreams + " upstreams at one entry");
             ControlUpdateMessage update = update(upstreams);
             bytes.add(new CapacitySlope.Point(upstreams, ControlUpdateMessage.CODEC.encode(update).length));
             FleetView view = new FleetView();
-            kept.add(view);
+            retainedViews.add(view);
             long before = HeapMeter.liveBytes();
             view.update(update);
             long after = HeapMeter.liveBytes();
             heap.add(new CapacitySlope.Point(upstreams, after - before));
             if (view.upstream("upstream-0").isEmpty()) {
-                throw new IllegalStateException("the view did not take the update");
+                throw new IllegalStateException("the fleet view does not contain the updated upstreams");
             }
         }
         return List.of(
--- a/tools/src/main/java/org/copperspindle/capacity/HeapMeter.java
+++ b/tools/src/main/java/org/copperspindle/capacity/HeapMeter.java
@@ -4,7 +4,7 @@
 import java.lang.management.MemoryMXBean;
 
 /**
- * Live heap, read after collections.
+ * Measures the live heap after garbage collections.
  */
 final class HeapMeter {
 
@@ -13,9 +13,9 @@
     private HeapMeter() {}
 
     /**
-     * Collects and reads.
+     * Runs garbage collections and returns the heap still in use.
      *
-     * @return live bytes
+     * @return size of the live heap in bytes
      */
     static long liveBytes() {
         MemoryMXBean memory = ManagementFactory.getMemoryMXBean();
--- a/tools/src/main/java/org/copperspindle/capacity/ProbeProgress.java
+++ b/tools/src/main/java/org/copperspindle/capacity/ProbeProgress.java
@@ -1,15 +1,15 @@
 package org.copperspindle.capacity;
 
 /**
- * Hears what a long measurement is doing.
+ * Receives the progress of a long measurement.
  */
 @FunctionalInterface
 public interface ProbeProgress {
 
     /**
-     * A step begins.
+     * Called when a step begins.
      *
-     * @param step the step, in words
+     * @param step description of the step
      */
     void step(String step);
 }
--- a/tools/src/main/java/org/copperspindle/capacity/RequestProbe.java
+++ b/tools/src/main/java/org/copperspindle/capacity/RequestProbe.java
@@ -11,16 +11,16 @@
 import java.util.concurrent.Semaphore;
 
 /**
- * What one request, and one streamed token, costs an entry and the agents: processor time against the number of
- * requests in a batch, and against the number of tokens in their answers.
+ * Measures what one request and one streamed token cost an entry and the agents: CPU time as a function of the number
+ * of requests in a batch, and of the number of tokens in the responses.
  */
 final class RequestProbe implements CapacityProbe {
 
-    private static final int[] REQUESTS = {250, 500, 1000, 2000};
-    private static final int[] TOKENS = {16, 64, 128, 256};
-    private static final int WARM_UP = 2000;
+    private static final int[] REQUEST_COUNTS = {250, 500, 1000, 2000};
+    private static final int[] TOKEN_COUNTS = {16, 64, 128, 256};
+    private static final int WARM_UP_REQUESTS = 2000;
     private static final int STREAMS = 200;
-    private static final int IN_FLIGHT = 16;
+    private static final int MAX_IN_FLIGHT = 16;
     private static final double NANOS_PER_MICRO = 1000;
 
     private final HttpClient http = HttpClient.newHttpClient();
@@ -33,24 +33,24 @@
     @Override
     public List<CapacitySlope> measure(ProbeProgress progress) throws Exception {
         try (StandInDeployment deployment = new StandInDeployment()) {
-            progress.step("warming up with " + WARM_UP + " requests");
-            call(deployment, WARM_UP, false, 1);
-            List<CapacitySlope> slopes = new ArrayList<>(perRequest(deployment, progress));
-            slopes.addAll(perToken(deployment, progress));
+            progress.step("warming up with " + WARM_UP_REQUESTS + " requests");
+            sendAll(deployment, WARM_UP_REQUESTS, false, 1);
+            List<CapacitySlope> slopes = new ArrayList<>(measureRequests(deployment, progress));
+            slopes.addAll(measureTokens(deployment, progress));
             return slopes;
         }
     }
 
-    private List<CapacitySlope> perRequest(StandInDeployment deployment, ProbeProgress progress) throws Exception {
+    private List<CapacitySlope> measureRequests(StandInDeployment deployment, ProbeProgress progress) throws Exception {
         List<CapacitySlope.Point> entry = new ArrayList<>();
         List<CapacitySlope.Point> agents = new ArrayList<>();
-        for (int requests : REQUESTS) {
+        for (int requests : REQUEST_COUNTS) {
             progress.step(requests + " requests of four stages");
-            ThreadCpuMeter entryCpu = ThreadCpuMeter.ofProcess(StandInDeployment.ENTRY);
-            ThreadCpuMeter agentCpu = ThreadCpuMeter.ofProcess(StandInDeployment.AGENT);
+            ThreadCpuMeter entryCpu = ThreadCpuMeter.ofProcess(StandInDeployment.ENTRY_ID);
+            ThreadCpuMeter agentCpu = ThreadCpuMeter.ofProcess(StandInDeployment.AGENT_ID_PREFIX);
             entryCpu.start();
             agentCpu.start();
-            call(deployment, requests, false, 1);
+            sendAll(deployment, requests, false, 1);
             entry.add(new CapacitySlope.Point(requests, entryCpu.stop() / NANOS_PER_MICRO));
             agents.add(new CapacitySlope.Point(requests, agentCpu.stop() / NANOS_PER_MICRO));
         }
@@ -59,16 +59,16 @@
                 new CapacitySlope("four agents together, processor time", "requests", "us", agents));
     }
 
-    private List<CapacitySlope> perToken(StandInDeployment deployment, ProbeProgress progress) throws Exception {
+    private List<CapacitySlope> measureTokens(StandInDeployment deployment, ProbeProgress progress) throws Exception {
         List<CapacitySlope.Point> entry = new ArrayList<>();
         List<CapacitySlope.Point> agents = new ArrayList<>();
-        for (int tokens : TOKENS) {
+        for (int tokens : TOKEN_COUNTS) {
             progress.step(STREAMS + " streamed answers of " + tokens + " tokens");
-            ThreadCpuMeter entryCpu = ThreadCpuMeter.ofProcess(StandInDeployment.ENTRY);
-            ThreadCpuMeter agentCpu = ThreadCpuMeter.ofProcess(StandInDeployment.AGENT);
+            ThreadCpuMeter entryCpu = ThreadCpuMeter.ofProcess(StandInDeployment.ENTRY_ID);
+            ThreadCpuMeter agentCpu = ThreadCpuMeter.ofProcess(StandInDeployment.AGENT_ID_PREFIX);
             entryCpu.start();
             agentCpu.start();
-            call(deployment, STREAMS, true, tokens);
+            sendAll(deployment, STREAMS, true, tokens);
             double total = (double) tokens * STREAMS;
             entry.add(new CapacitySlope.Point(total, entryCpu.stop() / NANOS_PER_MICRO));
             agents.add(new CapacitySlope.Point(total, agentCpu.stop() / NANOS_PER_MICRO));
@@ -78,8 +78,8 @@
                 new CapacitySlope("agents, processor time of streamed tokens", "tokens", "us", agents));
     }
 
-    private void call(StandInDeployment deployment, int count, boolean stream, int tokens) throws Exception {
-        Semaphore inFlight = new Semaphore(IN_FLIGHT);
+    private void sendAll(StandInDeployment deployment, int count, boolean stream, int tokens) throws Exception {
+        Semaphore inFlight = new Semaphore(MAX_IN_FLIGHT);
         List<CompletableFuture<Void>> answers = new ArrayList<>();
         String input = "{\"input\":\"measured\",\"max_tokens\":" + tokens + "}";
         URI uri = URI.create("http://127.0.0.1:" + deployment.callerPort() + "/v1/pipelines/measured");
--- a/tools/src/main/java/org/copperspindle/capacity/StandInControl.java
+++ b/tools/src/main/java/org/copperspindle/capacity/StandInControl.java
@@ -16,11 +16,11 @@
 import org.copperspindle.wire.NumericAddress;
 
 /**
- * One control member of its own, with a temporary data folder.
+ * A single control member for measurements, with a temporary data folder.
  */
 final class StandInControl implements AutoCloseable {
 
-    /** Identity that its threads carry in their names. */
+    /** Process id, part of the names of its threads. */
     static final String ID = "measured-control";
 
     private final Path data;
@@ -58,7 +58,7 @@
             files.sorted(Comparator.reverseOrder())
                     .forEach(file -> file.toFile().delete());
         } catch (IOException e) {
-            // A leftover temporary folder does not change a measurement.
+            // A temporary folder that is left over does not affect the measurement.
             data.toFile().deleteOnExit();
         }
     }
--- a/tools/src/main/java/org/copperspindle/capacity/StandInDeployment.java
+++ b/tools/src/main/java/org/copperspindle/capacity/StandInDeployment.java
@@ -22,24 +22,24 @@
 import org.copperspindle.settings.SettingsFile;
 
 /**
- * One control member, one entry, four agents with quick fakes: the shortest whole path.
+ * The smallest complete deployment for measurements: one control member, one entry, and four agents with fast fakes.
  */
 final class StandInDeployment implements AutoCloseable {
 
-    /** Identity of the entry, found in its threads' names. */
-    static final String ENTRY = "measured-entry";
+    /** Process id of the entry, part of the names of its threads. */
+    static final String ENTRY_ID = "measured-entry";
 
-    /** Start of the agents' identities. */
-    static final String AGENT = "measured-agent";
+    /** Prefix of the process ids of the agents. */
+    static final String AGENT_ID_PREFIX = "measured-agent";
 
     /** Bearer key of the one client account. */
     static final String BEARER = "measure";
 
-    private static final String RESOURCE = "/org/copperspindle/capacity/measured.ini";
+    private static final String DEPLOYMENT_RESOURCE = "/org/copperspindle/capacity/measured.ini";
     private static final int CONCURRENCY = 64;
     private static final int MAX_TOKENS = 4096;
     private static final Duration PER_TOKEN = Duration.ofMillis(2);
-    private static final Duration READY_LIMIT = Duration.ofSeconds(30);
+    private static final Duration READY_TIMEOUT = Duration.ofSeconds(30);
 
     private final StandInControl control;
     private final List<FakeUpstream> fakes = new ArrayList<>();
@@ -55,22 +55,22 @@
         this.entry = start(String.join(
                 "\n",
                 "[process]",
-                "id = " + ENTRY,
+                "id = " + ENTRY_ID,
                 "failure-domain = north",
                 "listen = 127.0.0.1:0",
                 "controls = " + controls(),
                 "[entry]",
                 "listen = 127.0.0.1:0"));
         apply();
-        Await.until("the entry to serve", READY_LIMIT, entry::ready);
-        Await.until("a first whole answer", READY_LIMIT, this::answers);
+        Await.until("the entry to serve", READY_TIMEOUT, entry::ready);
+        Await.until("a first whole answer", READY_TIMEOUT, this::servesRequests);
     }
 
     int callerPort() {
         return entry.callerAddress().orElseThrow().getPort();
     }
 
-    /** Addresses of the fakes, in the order of the stages. */
+    /** Returns the addresses of the fakes, in stage order. */
     List<InetSocketAddress> fakeAddresses() {
         return fakes.stream().map(FakeUpstream::address).toList();
     }
@@ -83,7 +83,7 @@
     }
 
     private void startAgent(FakeKind kind, String pool) throws SettingsException {
-        // Tokens are paced as engines pace them, if faster: tokens that come at once would share frames and cost less.
+        // Tokens are paced as by an engine, only faster: a burst of tokens would share frames and cost less.
         FakeSettings settings = new FakeSettings(
                 kind, new InetSocketAddress("127.0.0.1", 0), CONCURRENCY, Duration.ZERO, PER_TOKEN, MAX_TOKENS, false);
         FakeUpstream fake = new FakeUpstream(settings, new ExecutionLedger());
@@ -91,7 +91,7 @@
         start(String.join(
                 "\n",
                 "[process]",
-                "id = " + AGENT + "-" + pool,
+                "id = " + AGENT_ID_PREFIX + "-" + pool,
                 "failure-domain = north",
                 "listen = 127.0.0.1:0",
                 "controls = " + controls(),
@@ -115,7 +115,7 @@
     }
 
     private void apply() throws IOException, InterruptedException {
-        byte[] file = Objects.requireNonNull(getClass().getResourceAsStream(RESOURCE), RESOURCE)
+        byte[] file = Objects.requireNonNull(getClass().getResourceAsStream(DEPLOYMENT_RESOURCE), DEPLOYMENT_RESOURCE)
                 .readAllBytes();
         URI uri = URI.create("http://127.0.0.1:" + control.operatorAddress().getPort()
                 + "/v1/config?base=0&change=measure&operator=measure");
@@ -129,7 +129,7 @@
         }
     }
 
-    private boolean answers() {
+    private boolean servesRequests() {
         URI uri = URI.create("http://127.0.0.1:" + callerPort() + "/v1/pipelines/measured");
         HttpRequest request = HttpRequest.newBuilder(uri)
                 .header("Authorization", "Bearer " + BEARER)
--- a/tools/src/main/java/org/copperspindle/capacity/StandInMembers.java
+++ b/tools/src/main/java/org/copperspindle/capacity/StandInMembers.java
@@ -20,11 +20,12 @@
 import org.copperspindle.wire.WireTransport;
 
 /**
- * Many members with the product's own {@link ControlLink}, on one ring and few threads: what control sees of a fleet.
+ * Simulates the members of a large fleet for the control members: each uses the production {@link ControlLink}, but all
+ * share one ring and a few threads.
  */
 final class StandInMembers implements AutoCloseable {
 
-    /** Identity that the stand-ins' threads carry in their names. */
+    /** Part of the names of the threads and of the member ids. */
     static final String ID = "stand-in";
 
     private static final int NETWORK_THREADS = 2;
@@ -35,17 +36,17 @@
             NETWORK_THREADS, MessageCatalog.registry(), new GreetingMessage(GreetingMessage.PROTOCOL, "entry", ID, 1));
     private final List<WireTransport> identities = new ArrayList<>();
     private final List<ControlLink> links = new ArrayList<>();
-    private final AtomicInteger held = new AtomicInteger();
+    private final AtomicInteger heldLeases = new AtomicInteger();
     private final AtomicInteger atVersion = new AtomicInteger();
     private final AtomicLong highestVersion = new AtomicLong();
 
     /**
-     * Starts members.
+     * Starts the members.
      *
-     * @param count    how many
-     * @param agents   whether they announce an upstream each, as agents do
+     * @param count    number of members
+     * @param agents   whether each member announces an upstream, as agents do
      * @param controls addresses of the control members
-     * @param renew    interval of renewals
+     * @param renew    lease renewal interval
      */
     StandInMembers(int count, boolean agents, List<InetSocketAddress> controls, Duration renew) {
         for (int i = 0; i < count; i++) {
@@ -61,27 +62,27 @@
         }
     }
 
-    int held() {
-        return held.get();
+    int heldLeases() {
+        return heldLeases.get();
     }
 
     /**
-     * Counts members that have a version in force.
+     * Returns the number of members at a configuration version.
      *
-     * @param version the version
-     * @return how many, 0 until the first has it
+     * @param version the configuration version
+     * @return number of members; 0 until the first member has received the version
      */
-    int at(long version) {
+    int membersAt(long version) {
         return highestVersion.get() == version ? atVersion.get() : 0;
     }
 
-    long bytes() {
+    long transferredBytes() {
         return identities.stream()
                 .mapToLong(t -> t.counters().bytesSent() + t.counters().bytesReceived())
                 .sum();
     }
 
-    long messages() {
+    long transferredMessages() {
         return identities.stream()
                 .mapToLong(t -> t.counters().messagesSent() + t.counters().messagesReceived())
                 .sum();
@@ -95,7 +96,7 @@
         ring.close();
     }
 
-    /** One member; lives on the ring. */
+    /** One member; its state is confined to the ring thread. */
     private final class Member implements ControlLinkListener {
         private final String id;
         private final boolean agent;
@@ -132,12 +133,12 @@
 
         @Override
         public void onLease(boolean nowHeld) {
-            held.addAndGet(nowHeld ? 1 : -1);
+            heldLeases.addAndGet(nowHeld ? 1 : -1);
         }
 
         @Override
         public void onReply(WireMessage message) {
-            // claims are measured elsewhere
+            // Claims are not part of this measurement.
         }
     }
 }
--- a/tools/src/main/java/org/copperspindle/capacity/ThreadCpuMeter.java
+++ b/tools/src/main/java/org/copperspindle/capacity/ThreadCpuMeter.java
@@ -7,51 +7,52 @@
 import java.util.function.Predicate;
 
 /**
- * Processor time of some threads of this JVM, chosen by name; the system names its threads after its processes.
+ * Measures the CPU time of threads of this JVM that are selected by name. Thread names contain the process id, so the
+ * processes of a deployment in one JVM can be told apart.
  */
 final class ThreadCpuMeter {
 
     private final ThreadMXBean threads = ManagementFactory.getThreadMXBean();
-    private final Predicate<String> chosen;
-    private Map<Long, Long> before = Map.of();
+    private final Predicate<String> threadNameFilter;
+    private Map<Long, Long> timesAtStart = Map.of();
 
-    ThreadCpuMeter(Predicate<String> chosen) {
-        this.chosen = chosen;
+    ThreadCpuMeter(Predicate<String> threadNameFilter) {
+        this.threadNameFilter = threadNameFilter;
     }
 
     /**
-     * Chooses the threads of a process.
+     * Creates a meter for the threads of a process.
      *
-     * @param processId identity of the process
-     * @return a meter
+     * @param processId id of the process
+     * @return the meter
      */
     static ThreadCpuMeter ofProcess(String processId) {
         return new ThreadCpuMeter(name -> name.contains("-" + processId));
     }
 
     void start() {
-        before = read();
+        timesAtStart = readTimes();
     }
 
     /**
-     * Returns the time used since {@link #start()}; a thread that ended meanwhile is not counted.
+     * Returns the CPU time used since {@link #start()}; threads that have terminated since are not counted.
      *
-     * @return nanoseconds
+     * @return CPU time in nanoseconds
      */
     long stop() {
         long sum = 0;
-        for (Map.Entry<Long, Long> now : read().entrySet()) {
-            sum += now.getValue() - before.getOrDefault(now.getKey(), 0L);
+        for (Map.Entry<Long, Long> now : readTimes().entrySet()) {
+            sum += now.getValue() - timesAtStart.getOrDefault(now.getKey(), 0L);
         }
         return sum;
     }
 
-    private Map<Long, Long> read() {
+    private Map<Long, Long> readTimes() {
         Map<Long, Long> times = new HashMap<>();
         for (long id : threads.getAllThreadIds()) {
             var info = threads.getThreadInfo(id);
             long time = threads.getThreadCpuTime(id);
-            if (info != null && time >= 0 && chosen.test(info.getThreadName())) {
+            if (info != null && time >= 0 && threadNameFilter.test(info.getThreadName())) {
                 times.put(id, time);
             }
         }
--- a/tools/src/main/java/org/copperspindle/capacity/package-info.java
+++ b/tools/src/main/java/org/copperspindle/capacity/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Measurements of what each role costs as it grows: small stand-ins on one machine, a straight line through the points,
- * and the value that the line gives at the size to design for.
+ * Capacity measurements: how the cost of each role grows with its load. Small stand-in deployments are measured on one
+ * machine, and a linear fit extrapolates the cost to the design size.
  */
 package org.copperspindle.capacity;
