--- a/tools/src/main/java/org/copperspindle/demo/ConfigClient.java
+++ b/tools/src/main/java/org/copperspindle/demo/ConfigClient.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The operator of the demonstration: applies whole deployment texts over HTTP.
+ * Applies deployment texts over HTTP, as an operator would.
  */
 final class ConfigClient {
 
@@ -21,8 +21,8 @@
     private static final int OK = 200;
     private static final int NOT_THE_LEADER = 307;
     private static final int UNAVAILABLE = 503;
-    private static final int TRIES = 50;
-    private static final long PAUSE_MILLIS = 100;
+    private static final int MAX_ATTEMPTS = 50;
+    private static final long RETRY_DELAY_MILLIS = 100;
 
     private final List<InetSocketAddress> controls;
     private final HttpClient http = HttpClient.newHttpClient();
@@ -31,37 +31,37 @@
         this.controls = controls;
     }
 
-    /** Returns the new version once it is in force everywhere. Members that don't lead are passed over. */
+    /** Returns the new version once it is in force everywhere. Members that are not the leader are skipped. */
     long apply(String text, long base, String change) throws IOException, InterruptedException {
-        String answer = "";
-        for (int i = 0; i < TRIES; i++) {
+        String lastProblem = "";
+        for (int i = 0; i < MAX_ATTEMPTS; i++) {
             InetSocketAddress control = controls.get(i % controls.size());
             try {
-                HttpResponse<String> response = http.send(request(control, text, base, change), bodyOfString());
+                HttpResponse<String> response = http.send(request(control, text, base, change), bodyAsString());
                 if (response.statusCode() == OK) {
                     return DemoCall.JSON
                             .readTree(response.body())
                             .path("version")
                             .asLong();
                 }
-                answer = response.body();
+                lastProblem = response.body();
                 if (response.statusCode() != NOT_THE_LEADER && response.statusCode() != UNAVAILABLE) {
                     break;
                 }
             } catch (ConnectException e) {
-                answer = e.toString();
+                lastProblem = e.toString();
             }
-            // Not started, or no leader yet: the same change id makes a second sending harmless.
-            pause();
+            // The member has not started or there is no leader yet. The change id makes the request idempotent.
+            delayRetry();
         }
-        throw new IOException("the configuration was not accepted: " + answer);
+        throw new IOException("the configuration was not accepted: " + lastProblem);
     }
 
-    private static void pause() throws InterruptedException {
-        new CountDownLatch(1).await(PAUSE_MILLIS, TimeUnit.MILLISECONDS);
+    private static void delayRetry() throws InterruptedException {
+        new CountDownLatch(1).await(RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private static HttpResponse.BodyHandler<String> bodyOfString() {
+    private static HttpResponse.BodyHandler<String> bodyAsString() {
         return HttpResponse.BodyHandlers.ofString();
     }
 
--- a/tools/src/main/java/org/copperspindle/demo/DemoAnswer.java
+++ b/tools/src/main/java/org/copperspindle/demo/DemoAnswer.java
@@ -9,14 +9,14 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * What a caller got.
+ * The response to a call as the caller saw it, compared with the expected response.
  *
- * @param call      what it had sent
- * @param outcome   the answer judged against the one right answer
- * @param verdict   verdict in the answer; empty if there was none
- * @param reason    reason of the verdict, or of the lack of an answer
- * @param requestId identity that the system gave the request; empty if it told none
- * @param latency   from sending to the end of the answer
+ * @param call      the call that was sent
+ * @param outcome   result of the comparison with the expected response
+ * @param verdict   verdict in the response; empty if there was none
+ * @param reason    reason of the verdict, or why there is no response
+ * @param requestId request id in the response; empty if there was none
+ * @param latency   time from sending the call to the end of the response
  */
 record DemoAnswer(DemoCall call, Outcome outcome, String verdict, String reason, String requestId, Duration latency) {
 
@@ -24,19 +24,19 @@
     private static final String RAN = "RAN";
     private static final int OK = 200;
 
-    /** How an answer compares with the one right answer. */
+    /** Result of comparing a response with the expected one. */
     enum Outcome {
-        /** It is the right answer, whole. */
+        /** The complete expected response. */
         WHOLE,
-        /** The system said that it could not answer, with a verdict. */
+        /** An error response with a verdict. */
         FAILED,
-        /** No answer came, or one that ended without saying so. */
+        /** No response, or a stream without its end event. */
         NONE,
-        /** Given as complete, and parts are missing or wrong. */
+        /** Marked as complete, but parts are missing or wrong. */
         SPOILT,
-        /** Given as complete, and longer than the right answer. */
+        /** Marked as complete, but longer than expected. */
         DOUBLED,
-        /** Carries the token of another call. */
+        /** Contains the token of another call. */
         FOREIGN
     }
 
@@ -46,7 +46,7 @@
         String type = response.headers().firstValue("Content-Type").orElse("");
         try {
             if (response.statusCode() != OK) {
-                return problem(call, response.body(), requestId, latency);
+                return ofProblem(call, response.body(), requestId, latency);
             }
             if (type.startsWith("text/event-stream")) {
                 return ofStream(call, response.body(), requestId, latency);
@@ -54,7 +54,7 @@
             String text = call.pipeline().service()
                     ? DemoCall.JSON.readTree(response.body()).path("request").toString()
                     : DemoCall.JSON.readTree(response.body()).path("output").asText();
-            return judged(call, text, response.body(), requestId, latency);
+            return compared(call, text, response.body(), requestId, latency);
         } catch (IOException e) {
             return new DemoAnswer(call, Outcome.SPOILT, RAN, "not JSON", requestId, latency);
         }
@@ -78,12 +78,12 @@
             } else if (line.startsWith("data:")) {
                 String data = line.substring("data:".length());
                 if (event.equals("problem")) {
-                    return problem(call, data, requestId, latency);
+                    return ofProblem(call, data, requestId, latency);
                 }
                 JsonNode json = DemoCall.JSON.readTree(data);
                 if (event.equals("end")) {
                     String id = json.path("request_id").asText(requestId);
-                    return judged(call, text.toString(), data, id, latency);
+                    return compared(call, text.toString(), data, id, latency);
                 }
                 text.append(json.path("text").asText());
             }
@@ -91,7 +91,7 @@
         return new DemoAnswer(call, Outcome.NONE, "", "stream without an end", requestId, latency);
     }
 
-    private static DemoAnswer problem(DemoCall call, String body, String requestId, Duration latency)
+    private static DemoAnswer ofProblem(DemoCall call, String body, String requestId, Duration latency)
             throws IOException {
         JsonNode json = DemoCall.JSON.readTree(body);
         String verdict = json.path("verdict").asText();
@@ -100,14 +100,14 @@
         return new DemoAnswer(call, outcome, verdict, json.path("reason").asText(), id, latency);
     }
 
-    private static DemoAnswer judged(DemoCall call, String text, String end, String requestId, Duration latency) {
-        Outcome outcome = judge(call, text, end);
+    private static DemoAnswer compared(DemoCall call, String text, String end, String requestId, Duration latency) {
+        Outcome outcome = compareWithExpected(call, text, end);
         String reason = outcome == Outcome.WHOLE ? "" : "answer was: " + text + " / " + end;
         return new DemoAnswer(call, outcome, RAN, reason, requestId, latency);
     }
 
-    /** Searches the text put together, since a piece of a stream may end inside a token, and the end of the answer. */
-    private static Outcome judge(DemoCall call, String text, String end) {
+    /** Searches the joined text, since a stream event may end inside a token, and the end of the response. */
+    private static Outcome compareWithExpected(DemoCall call, String text, String end) {
         Matcher matcher = TOKEN.matcher(text + "\n" + end);
         while (matcher.find()) {
             if (!matcher.group(1).equals(call.token())) {
--- a/tools/src/main/java/org/copperspindle/demo/DemoCall.java
+++ b/tools/src/main/java/org/copperspindle/demo/DemoCall.java
@@ -7,15 +7,15 @@
 import org.copperspindle.emulator.FakeAnswers;
 
 /**
- * One sending of a call, with all that is needed to judge its answer.
+ * One transmission of a call, with everything needed to check its response.
  *
  * @param trace    the call in the trace
- * @param pipeline pipeline or plain service
- * @param priority priority that it is served with
- * @param token    names the work in the body; the ledger counts by it
- * @param key      its idempotency key
+ * @param pipeline pipeline or plain service that is called
+ * @param priority priority with which the call is served
+ * @param token    identifies the work in the body; the ledger counts executions by token
+ * @param key      idempotency key
  * @param bearer   bearer key of the account
- * @param resent   whether this repeats an earlier sending with the same key
+ * @param resent   whether this is a retransmission with the same key
  */
 record DemoCall(
         TraceCall trace,
@@ -28,7 +28,7 @@
 
     static final ObjectMapper JSON = new ObjectMapper();
 
-    DemoCall again() {
+    DemoCall retransmission() {
         return new DemoCall(trace, pipeline, priority, token, key, bearer, true);
     }
 
@@ -44,13 +44,13 @@
         return body.put("input", input()).put("max_tokens", trace.tokens()).toString();
     }
 
-    /** Returns the one right answer: the echo of a service's body, or the text that the fake engine must generate. */
+    /** Returns the expected response: the echo of the body for a service, else the completion by the fake engine. */
     String expected() {
         return pipeline.service() ? body() : FakeAnswers.completion(input(), trace.tokens());
     }
 
     private String input() {
-        // The token comes first: like the prompts of different texts, no two share a prefix, so routing spreads them.
+        // The token comes first, so that no two prompts share a prefix and prefix-aware routing spreads them.
         return "token=" + token + " " + pipeline.name() + " for " + trace.account();
     }
 }
--- a/tools/src/main/java/org/copperspindle/demo/DemoCaller.java
+++ b/tools/src/main/java/org/copperspindle/demo/DemoCaller.java
@@ -10,12 +10,12 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The callers: sends calls over HTTP/1.1 and judges the answers.
+ * Sends calls over HTTP/1.1 and checks the responses.
  */
 final class DemoCaller {
 
-    /** An answer that is this late counts as none: the system answers by the deadline, whatever happens. */
-    private static final Duration PATIENCE = Duration.ofSeconds(5);
+    /** Wait beyond the deadline, after which a response counts as missing: the system must respond by the deadline. */
+    private static final Duration RESPONSE_GRACE_PERIOD = Duration.ofSeconds(5);
 
     private final HttpClient http =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
@@ -23,7 +23,7 @@
     CompletableFuture<DemoAnswer> send(DemoCall call, InetSocketAddress entry) {
         URI uri = URI.create("http://127.0.0.1:" + entry.getPort() + call.path());
         HttpRequest request = HttpRequest.newBuilder(uri)
-                .timeout(call.pipeline().deadline().plus(PATIENCE))
+                .timeout(call.pipeline().deadline().plus(RESPONSE_GRACE_PERIOD))
                 .header("Authorization", "Bearer " + call.bearer())
                 .header("Idempotency-Key", call.key())
                 .header("Accept", call.trace().stream() ? "text/event-stream" : "application/json")
--- a/tools/src/main/java/org/copperspindle/demo/DemoDeployment.java
+++ b/tools/src/main/java/org/copperspindle/demo/DemoDeployment.java
@@ -21,8 +21,8 @@
 import org.copperspindle.wire.NumericAddress;
 
 /**
- * A whole deployment in this process: control members, entries, and an agent with a fake for each upstream. Each part is
- * started from settings text, as a daemon of its own would be.
+ * A complete deployment in this process: control members, entries, and an agent with a fake for each upstream. Each
+ * component is started from settings text, as a separate daemon would be.
  */
 final class DemoDeployment {
 
@@ -33,8 +33,8 @@
     private static final String ANY_PORT = LOOPBACK + ":0";
     private static final int CONTROLS = 3;
     private static final int ENTRIES = 2;
-    private static final int SCALE = 3;
-    private static final int SMALLEST_POOL = 2;
+    private static final int SCALE_DIVISOR = 3;
+    private static final int MIN_POOL_SIZE = 2;
     private static final int MAX_TOKENS = 256;
     private static final int MAX_CONCURRENCY = 16;
 
@@ -43,11 +43,11 @@
     private final List<CopperspindleProcess> controls = new ArrayList<>();
     private final List<CopperspindleProcess> entries = new ArrayList<>();
     private final List<DemoUpstream> upstreams = new ArrayList<>();
-    private final List<DemoUpstream> gone = new ArrayList<>();
+    private final List<DemoUpstream> stopped = new ArrayList<>();
 
     DemoDeployment(Deployment deployment, Path data) throws IOException, SettingsException {
         this.deployment = deployment;
-        List<String> addresses = addresses(CONTROLS);
+        List<String> addresses = reserveAddresses(CONTROLS);
         String members = String.join(", ", addresses);
         for (int i = 0; i < CONTROLS; i++) {
             controls.add(start(
@@ -59,7 +59,7 @@
                             + data.resolve("control-" + (i + 1))));
         }
         for (PoolSettings pool : deployment.pools().values()) {
-            for (int i = 0; i < scaled(pool); i++) {
+            for (int i = 0; i < scaledSize(pool); i++) {
                 upstreams.add(startUpstream(pool, i, members));
             }
         }
@@ -69,10 +69,10 @@
         }
     }
 
-    /** Returns how many upstreams a pool gets here: a third of what is planned, at least two where there are two. */
-    static int scaled(PoolSettings pool) {
-        int third = (pool.size() + SCALE - 1) / SCALE;
-        return Math.min(pool.size(), Math.max(SMALLEST_POOL, third));
+    /** Returns the number of upstreams to start for a pool: a third of its size, but at least two if it has two. */
+    static int scaledSize(PoolSettings pool) {
+        int third = (pool.size() + SCALE_DIVISOR - 1) / SCALE_DIVISOR;
+        return Math.min(pool.size(), Math.max(MIN_POOL_SIZE, third));
     }
 
     String summary() {
@@ -101,22 +101,22 @@
     }
 
     void drain(DemoUpstream upstream) throws InterruptedException {
-        gone.add(upstream);
+        stopped.add(upstream);
         upstream.drain();
     }
 
     void kill(DemoUpstream upstream) {
-        gone.add(upstream);
+        stopped.add(upstream);
         upstream.kill();
     }
 
-    /** Stops all that still runs, gracefully: entries first, so that none is left without agents or control. */
+    /** Stops all running components gracefully: entries first, so that none loses its agents or control members. */
     void stop() throws InterruptedException {
         for (CopperspindleProcess entry : entries) {
             entry.stop();
         }
         for (DemoUpstream upstream : upstreams) {
-            if (!gone.contains(upstream)) {
+            if (!stopped.contains(upstream)) {
                 upstream.agent().stop();
                 upstream.fake().close();
             }
@@ -128,14 +128,14 @@
 
     private DemoUpstream startUpstream(PoolSettings pool, int index, String members) throws SettingsException {
         String id = pool.name() + "-" + (index + 1);
-        FakeUpstream fake = new FakeUpstream(fake(pool), ledger);
+        FakeUpstream fake = new FakeUpstream(fakeSettings(pool), ledger);
         String role = "[agent]\nupstream-id = " + id + "\npool = " + pool.name() + "\nupstream = " + LOOPBACK + ":"
                 + fake.address().getPort()
                 + (pool.models().isEmpty() ? "" : "\nmodels = " + String.join(", ", pool.models()));
         return new DemoUpstream(id, pool, fake, start("agent-" + id, index, ANY_PORT, members, role));
     }
 
-    private static FakeSettings fake(PoolSettings pool) {
+    private static FakeSettings fakeSettings(PoolSettings pool) {
         Duration service = switch (pool.kind()) {
             case ENCODER -> Duration.ofMillis(8);
             case RETRIEVER -> Duration.ofMillis(6);
@@ -162,8 +162,8 @@
         return CopperspindleProcess.start(ProcessSettings.read(SettingsFile.parse(id, text)));
     }
 
-    /** Gives addresses that can stand in the settings of all members before any of them listens. */
-    private static List<String> addresses(int count) throws IOException {
+    /** Reserves addresses in advance, since the settings of each member name all members. */
+    private static List<String> reserveAddresses(int count) throws IOException {
         LoopbackHost host = LoopbackHost.open();
         List<String> addresses = new ArrayList<>();
         for (int i = 0; i < count; i++) {
--- a/tools/src/main/java/org/copperspindle/demo/DemoReport.java
+++ b/tools/src/main/java/org/copperspindle/demo/DemoReport.java
@@ -14,16 +14,16 @@
 import org.copperspindle.emulator.FakeUsage;
 
 /**
- * The tables at the end of the demonstration.
+ * Prints the result tables of the demonstration.
  */
 final class DemoReport {
 
-    private static final int DIGITS = 3;
-    private static final int LONGEST_REASON = 60;
+    private static final int SIGNIFICANT_DIGITS = 3;
+    private static final int MAX_REASON_LENGTH = 60;
     private static final double MICROS_PER_MILLI = 1000;
     private static final double NANOS_PER_SECOND = 1e9;
-    private static final double MEDIAN = 50;
-    private static final double TAIL = 99;
+    private static final double MEDIAN_PERCENTILE = 50;
+    private static final double TAIL_PERCENTILE = 99;
 
     private final PrintStream out;
 
@@ -31,7 +31,7 @@
         this.out = out;
     }
 
-    void attainment(List<DemoAnswer> answers) {
+    void printAttainment(List<DemoAnswer> answers) {
         out.println();
         out.println("Attainment: whole answers within the deadline");
         TextTable table = new TextTable(2, "call", "priority", "calls", "attained", "share", "p50 ms", "p99 ms");
@@ -41,19 +41,20 @@
                         TreeMap::new,
                         Collectors.toList()));
         byCall.values()
-                .forEach(group -> attainmentRow(
+                .forEach(group -> addAttainmentRow(
                         table,
                         group.get(0).call().pipeline().name(),
                         priority(group.get(0).call().priority()),
                         group));
         answers.stream()
                 .collect(Collectors.groupingBy(a -> a.call().priority(), TreeMap::new, Collectors.toList()))
-                .forEach((priority, group) -> attainmentRow(table, "all of this priority", priority(priority), group));
-        attainmentRow(table, "all", "", answers);
+                .forEach((priority, group) ->
+                        addAttainmentRow(table, "all of this priority", priority(priority), group));
+        addAttainmentRow(table, "all", "", answers);
         table.print(out);
     }
 
-    void cost(List<DemoUpstream> upstreams) {
+    void printCost(List<DemoUpstream> upstreams) {
         out.println();
         out.println(
                 "Cost by stage: time that calls held a slot, by pool, times the pool's cost per second in the settings");
@@ -81,19 +82,19 @@
         table.print(out);
     }
 
-    void verdicts(List<DemoAnswer> answers) {
+    void printVerdicts(List<DemoAnswer> answers) {
         out.println();
         out.println("Verdicts: what the answers say about whether the work ran (resent calls included)");
         TextTable table = new TextTable(2, "verdict", "reason", "answers");
         Function<DemoAnswer, String> kind =
-                a -> (a.verdict().isEmpty() ? "none" : a.verdict()) + "\t" + shortened(a.reason());
+                a -> (a.verdict().isEmpty() ? "none" : a.verdict()) + "\t" + shorten(a.reason());
         answers.stream()
                 .collect(Collectors.groupingBy(kind, TreeMap::new, Collectors.counting()))
                 .forEach((key, count) -> table.row(key.split("\t")[0], key.split("\t")[1], String.valueOf(count)));
         table.print(out);
     }
 
-    boolean promises(List<PromiseCheck.Result> results) {
+    boolean printPromises(List<PromiseCheck.Result> results) {
         out.println();
         out.println("Promises, checked against a ledger that only the fake upstreams write");
         TextTable table = new TextTable(1, "promise", "checked", "broken");
@@ -105,8 +106,8 @@
         return results.stream().allMatch(r -> r.broken() == 0);
     }
 
-    private static void attainmentRow(TextTable table, String call, String priority, List<DemoAnswer> answers) {
-        Histogram latencies = new Histogram(DIGITS);
+    private static void addAttainmentRow(TextTable table, String call, String priority, List<DemoAnswer> answers) {
+        Histogram latencies = new Histogram(SIGNIFICANT_DIGITS);
         answers.stream()
                 .filter(a -> a.outcome() == DemoAnswer.Outcome.WHOLE)
                 .forEach(a -> latencies.recordValue(a.latency().toNanos() / 1000));
@@ -117,13 +118,13 @@
                 String.valueOf(answers.size()),
                 String.valueOf(attained),
                 percent(attained, answers.size()),
-                millis(latencies, MEDIAN),
-                millis(latencies, TAIL));
+                millis(latencies, MEDIAN_PERCENTILE),
+                millis(latencies, TAIL_PERCENTILE));
     }
 
-    private static String shortened(String reason) {
+    private static String shorten(String reason) {
         String line = reason.lines().findFirst().orElse("-");
-        return line.length() <= LONGEST_REASON ? line : line.substring(0, LONGEST_REASON - 3) + "...";
+        return line.length() <= MAX_REASON_LENGTH ? line : line.substring(0, MAX_REASON_LENGTH - 3) + "...";
     }
 
     private static String millis(Histogram latencies, double percentile) {
--- a/tools/src/main/java/org/copperspindle/demo/DemoRun.java
+++ b/tools/src/main/java/org/copperspindle/demo/DemoRun.java
@@ -32,15 +32,16 @@
 import org.copperspindle.replay.Trace;
 
 /**
- * One run of the demonstration: starts the deployment, replays the trace, disturbs it half way, and reports.
+ * One run of the demonstration: starts the deployment, replays the trace, injects faults halfway through and prints a
+ * report.
  */
 public final class DemoRun {
 
-    private static final String LATE_ACCOUNT = "newcomer";
-    private static final long READY_MILLIS = 15_000;
-    private static final long POLL_MILLIS = 20;
-    private static final long PROGRESS_MILLIS = 2000;
-    private static final long ANSWER_MILLIS = 20_000;
+    private static final String ADDED_ACCOUNT = "newcomer";
+    private static final long READY_TIMEOUT_MILLIS = 15_000;
+    private static final long POLL_INTERVAL_MILLIS = 20;
+    private static final long PROGRESS_INTERVAL_MILLIS = 2000;
+    private static final long ANSWER_TIMEOUT_MILLIS = 20_000;
     private static final double MILLIS_PER_SECOND = 1000;
 
     private final Deployment deployment;
@@ -55,7 +56,7 @@
     private final AtomicInteger sent = new AtomicInteger();
     private final AtomicInteger answered = new AtomicInteger();
     private final SplittableRandom random;
-    private DemoDeployment parts;
+    private DemoDeployment components;
     private ConfigClient operator;
     private long startedAt;
     private String configProblem = "";
@@ -64,11 +65,11 @@
     /**
      * Prepares a run.
      *
-     * @param deployment the sample deployment
-     * @param text       its INI text
-     * @param trace      what callers do
-     * @param seed       seed of entries, resent calls and victims
-     * @param out        where progress and tables go
+     * @param deployment deployment to start
+     * @param text       INI text of the deployment
+     * @param trace      calls to replay
+     * @param seed       seed for the choice of entries, repeated calls and upstreams to stop
+     * @param out        destination of progress lines and tables
      */
     public DemoRun(Deployment deployment, String text, Trace trace, long seed, PrintStream out) {
         this.deployment = deployment;
@@ -81,43 +82,43 @@
     }
 
     /**
-     * Runs it.
+     * Runs the demonstration.
      *
      * @param data folder for the state of the control members
      * @return false if any promise was broken
      * @throws Exception if the deployment can't be started or stopped
      */
     public boolean run(Path data) throws Exception {
-        out.println("Deployment " + deployment.name() + ", scaled down: " + pools());
-        parts = new DemoDeployment(deployment, data);
-        out.println("Started in this process on loopback: " + parts.summary());
-        operator = new ConfigClient(parts.operatorAddresses());
+        out.println("Deployment " + deployment.name() + ", scaled down: " + describePools());
+        components = new DemoDeployment(deployment, data);
+        out.println("Started in this process on loopback: " + components.summary());
+        operator = new ConfigClient(components.operatorAddresses());
         long version = operator.apply(text, 0, "demo-1");
-        await(parts::ready, READY_MILLIS);
+        await(components::ready, READY_TIMEOUT_MILLIS);
         warmUp();
         out.println("Configuration version " + version + " is in force; replaying " + calls.size() + " calls of trace "
                 + trace.name() + ", seed " + seed);
         replay(version);
         out.println("Stopping gracefully ...");
-        parts.stop();
+        components.stop();
         scheduler.shutdownNow();
         return report();
     }
 
-    private String pools() {
+    private String describePools() {
         return String.join(
                 ", ",
                 deployment.pools().values().stream()
                         .sorted((a, b) -> a.kind().compareTo(b.kind()))
-                        .map(p -> p.name() + " " + DemoDeployment.scaled(p) + " of " + p.size())
+                        .map(p -> p.name() + " " + DemoDeployment.scaledSize(p) + " of " + p.size())
                         .toList());
     }
 
-    /** One call of each pipeline through each entry, so that the first measured call doesn't pay for class loading. */
+    /** Sends one call of each pipeline through each entry, so that the measured calls include no class loading. */
     private void warmUp() {
         List<CompletableFuture<?>> pending = new ArrayList<>();
         for (PipelineSettings pipeline : deployment.pipelines().values()) {
-            for (InetSocketAddress entry : parts.entryAddresses()) {
+            for (InetSocketAddress entry : components.entryAddresses()) {
                 Optional<AccountSettings> account = deployment.accounts().values().stream()
                         .filter(a -> a.pipelines().contains(pipeline.name()))
                         .findFirst();
@@ -135,20 +136,20 @@
         int index = 0;
         for (TraceCall traced : calls) {
             DemoCall call = call(traced, seed + "-" + index++);
-            int entry = random.nextInt(parts.entryAddresses().size());
-            after(traced.atMillis(), () -> send(call, entry));
+            int entry = random.nextInt(components.entryAddresses().size());
+            schedule(traced.atMillis(), () -> send(call, entry));
             if (traced.resendMillis() > 0) {
-                after(traced.atMillis() + traced.resendMillis(), () -> send(call.again(), entry + 1));
+                schedule(traced.atMillis() + traced.resendMillis(), () -> send(call.retransmission(), entry + 1));
             }
         }
-        after(lengthMillis() / 2, () -> disturb(version));
-        for (long at = PROGRESS_MILLIS; at < lengthMillis(); at += PROGRESS_MILLIS) {
-            after(at, () -> progress(""));
+        schedule(lengthMillis() / 2, () -> injectFaults(version));
+        for (long at = PROGRESS_INTERVAL_MILLIS; at < lengthMillis(); at += PROGRESS_INTERVAL_MILLIS) {
+            schedule(at, () -> printProgress(""));
         }
         int all = calls.size()
                 + (int) calls.stream().filter(c -> c.resendMillis() > 0).count();
-        await(() -> sent.get() == all && answered.get() == all, lengthMillis() + ANSWER_MILLIS);
-        progress("all answered");
+        await(() -> sent.get() == all && answered.get() == all, lengthMillis() + ANSWER_TIMEOUT_MILLIS);
+        printProgress("all answered");
     }
 
     private long lengthMillis() {
@@ -167,59 +168,59 @@
 
     private CompletableFuture<DemoAnswer> send(DemoCall call, int entry) {
         sent.incrementAndGet();
-        List<InetSocketAddress> addresses = parts.entryAddresses();
+        List<InetSocketAddress> addresses = components.entryAddresses();
         return caller.send(call, addresses.get(entry % addresses.size())).whenComplete((answer, failure) -> {
             answers.add(answer);
             answered.incrementAndGet();
         });
     }
 
-    /** Half way: a new configuration, a planned leave and a sudden death, all under load. */
-    private void disturb(long version) {
-        List<DemoUpstream> services = victims(PoolKind.SERVICE);
-        List<DemoUpstream> engines = victims(PoolKind.ENGINE);
-        DemoUpstream leaving = services.get(random.nextInt(services.size()));
-        DemoUpstream dying = engines.get(random.nextInt(engines.size()));
-        CompletableFuture.runAsync(() -> change(version));
-        CompletableFuture.runAsync(() -> drain(leaving));
-        parts.kill(dying);
-        progress("killed " + dying.id() + " (agent and upstream) in the middle of its work");
+    /** Applies a new configuration, drains one upstream and kills another, all under load. */
+    private void injectFaults(long version) {
+        List<DemoUpstream> services = removableUpstreams(PoolKind.SERVICE);
+        List<DemoUpstream> engines = removableUpstreams(PoolKind.ENGINE);
+        DemoUpstream drained = services.get(random.nextInt(services.size()));
+        DemoUpstream killed = engines.get(random.nextInt(engines.size()));
+        CompletableFuture.runAsync(() -> addAccount(version));
+        CompletableFuture.runAsync(() -> drain(drained));
+        components.kill(killed);
+        printProgress("killed " + killed.id() + " (agent and upstream) in the middle of its work");
     }
 
-    /** Chosen among pools that callers of the trace use and that have an upstream to spare. */
-    private List<DemoUpstream> victims(PoolKind kind) {
-        return parts.upstreams().stream()
-                .filter(u -> u.pool().kind() == kind && DemoDeployment.scaled(u.pool()) > 1)
+    /** Returns the upstreams of this kind that may be stopped: their pool is used by the trace and has another one. */
+    private List<DemoUpstream> removableUpstreams(PoolKind kind) {
+        return components.upstreams().stream()
+                .filter(u -> u.pool().kind() == kind && DemoDeployment.scaledSize(u.pool()) > 1)
                 .toList();
     }
 
     private void drain(DemoUpstream upstream) {
         long start = System.nanoTime();
         try {
-            parts.drain(upstream);
-            progress("drained " + upstream.id() + ": its work ended after "
+            components.drain(upstream);
+            printProgress("drained " + upstream.id() + ": its work ended after "
                     + TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start) + " ms");
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Adds a client account, then calls with it through every entry at once: none may still refuse its key. */
-    private void change(long version) {
+    /** Adds a client account, then uses it at once through every entry: once applied, no entry may reject its key. */
+    private void addAccount(long version) {
         PipelineSettings open = deployment.pipelines().values().stream()
                 .filter(p -> p.service() && p.repeatable())
                 .findFirst()
                 .orElseThrow();
-        String account = "\n[account " + LATE_ACCOUNT + "]\nkey-sha256 = "
-                + sha256("demo-" + deployment.name() + "-" + LATE_ACCOUNT) + "\nrate-per-second = 10\npipelines = "
+        String account = "\n[account " + ADDED_ACCOUNT + "]\nkey-sha256 = "
+                + sha256("demo-" + deployment.name() + "-" + ADDED_ACCOUNT) + "\nrate-per-second = 10\npipelines = "
                 + open.name() + "\n";
         try {
             long start = System.nanoTime();
             long next = operator.apply(text + account, version, "demo-2");
-            progress("configuration version " + next + " in force everywhere after "
+            printProgress("configuration version " + next + " in force everywhere after "
                     + TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start) + " ms");
-            TraceCall call = new TraceCall(0, LATE_ACCOUNT, open.name(), 0, false, 0);
-            for (InetSocketAddress entry : parts.entryAddresses()) {
+            TraceCall call = new TraceCall(0, ADDED_ACCOUNT, open.name(), 0, false, 0);
+            for (InetSocketAddress entry : components.entryAddresses()) {
                 DemoAnswer answer = caller.send(call(call, "late-" + entry.getPort()), entry)
                         .join();
                 configChecks++;
@@ -237,25 +238,26 @@
 
     private boolean report() {
         List<DemoAnswer> all = List.copyOf(answers);
-        List<PromiseCheck.Result> results = new ArrayList<>(new PromiseCheck(deployment, all, parts.ledger()).check());
+        List<PromiseCheck.Result> results =
+                new ArrayList<>(new PromiseCheck(deployment, all, components.ledger()).check());
         results.add(new PromiseCheck.Result(
                 "accepted configuration not in force", configChecks, configProblem.isEmpty() ? 0 : 1, configProblem));
         DemoReport report = new DemoReport(out);
-        report.attainment(all.stream().filter(a -> !a.call().resent()).toList());
-        report.cost(parts.upstreams());
-        report.verdicts(all);
-        boolean kept = report.promises(results);
+        report.printAttainment(all.stream().filter(a -> !a.call().resent()).toList());
+        report.printCost(components.upstreams());
+        report.printVerdicts(all);
+        boolean kept = report.printPromises(results);
         out.println();
         out.println(kept ? "Every promise was kept." : "A PROMISE WAS BROKEN.");
         return kept;
     }
 
-    private void after(long millis, Runnable action) {
+    private void schedule(long millis, Runnable action) {
         long passed = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedAt);
         scheduler.schedule(action, Math.max(0, millis - passed), TimeUnit.MILLISECONDS);
     }
 
-    private void progress(String event) {
+    private void printProgress(String event) {
         int done = answered.get();
         String line = String.format(
                 Locale.ROOT,
@@ -276,7 +278,8 @@
                 met.countDown();
             }
         };
-        ScheduledFuture<?> polling = scheduler.scheduleWithFixedDelay(check, 0, POLL_MILLIS, TimeUnit.MILLISECONDS);
+        ScheduledFuture<?> polling =
+                scheduler.scheduleWithFixedDelay(check, 0, POLL_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         met.await();
         polling.cancel(false);
     }
--- a/tools/src/main/java/org/copperspindle/demo/DemoTrace.java
+++ b/tools/src/main/java/org/copperspindle/demo/DemoTrace.java
@@ -12,19 +12,19 @@
 import org.copperspindle.replay.TraceRequest;
 
 /**
- * Turns a trace into calls over HTTP. What a trace doesn't say is drawn from a seed: which answers are taken as a stream,
- * and which calls are sent again, as after a lost answer.
+ * Turns a trace into HTTP calls. Properties that a trace does not record are drawn from a seeded random generator:
+ * which responses are streamed, and which calls are sent again, as after a lost response.
  */
 final class DemoTrace {
 
-    private static final int FEWEST_TOKENS = 4;
-    private static final double STREAMED_SHARE = 0.4;
-    private static final double RESENT_SHARE_UNREPEATABLE = 0.4;
-    private static final double RESENT_SHARE = 0.04;
-    /** Soon enough to meet the first sending in progress. */
-    private static final long RESENT_SOON_MILLIS = 5;
-    /** Late enough to meet its kept outcome. */
-    private static final long RESENT_LATE_MILLIS = 700;
+    private static final int MIN_TOKENS = 4;
+    private static final double STREAMED_FRACTION = 0.4;
+    private static final double UNREPEATABLE_RESEND_FRACTION = 0.4;
+    private static final double RESEND_FRACTION = 0.04;
+    /** Short enough for the first transmission to be still in progress. */
+    private static final long EARLY_RESEND_MILLIS = 5;
+    /** Long enough for the first transmission to be finished, so that its stored outcome is returned. */
+    private static final long LATE_RESEND_MILLIS = 700;
 
     private final Deployment deployment;
     private final SplittableRandom random;
@@ -34,17 +34,17 @@
         this.random = new SplittableRandom(seed);
     }
 
-    /** Returns the calls in the order of their times. */
+    /** Returns the calls in time order. */
     List<TraceCall> calls(Trace trace) {
         return trace.requests().stream().map(this::call).toList();
     }
 
     private TraceCall call(TraceRequest request) {
         PipelineSettings pipeline = deployment.pipeline(request.pipeline()).orElseThrow();
-        boolean streamed = random.nextDouble() < STREAMED_SHARE;
-        double resentShare = pipeline.repeatable() ? RESENT_SHARE : RESENT_SHARE_UNREPEATABLE;
-        boolean resent = random.nextDouble() < resentShare;
-        long resendMillis = random.nextBoolean() ? RESENT_SOON_MILLIS : RESENT_LATE_MILLIS;
+        boolean streamed = random.nextDouble() < STREAMED_FRACTION;
+        double resendFraction = pipeline.repeatable() ? RESEND_FRACTION : UNREPEATABLE_RESEND_FRACTION;
+        boolean resent = random.nextDouble() < resendFraction;
+        long resendMillis = random.nextBoolean() ? EARLY_RESEND_MILLIS : LATE_RESEND_MILLIS;
         return new TraceCall(
                 TimeUnit.NANOSECONDS.toMillis(request.atNanos()),
                 request.account(),
@@ -54,13 +54,13 @@
                 resent ? resendMillis : 0);
     }
 
-    /** Returns the tokens that keep the fake engine busy for the work that the trace states. */
+    /** Returns the number of tokens that keeps the fake engine busy for the work time in the trace. */
     private int tokens(TraceRequest request, PipelineSettings pipeline) {
         for (StageSettings stage : pipeline.stages()) {
             boolean engine = deployment.pool(stage.pool()).orElseThrow().kind() == PoolKind.ENGINE;
             if (engine) {
-                long left = request.workNanos().get(stage.name()) - DemoDeployment.FIRST_TOKEN.toNanos();
-                return (int) Math.max(FEWEST_TOKENS, left / DemoDeployment.PER_TOKEN.toNanos());
+                long generationNanos = request.workNanos().get(stage.name()) - DemoDeployment.FIRST_TOKEN.toNanos();
+                return (int) Math.max(MIN_TOKENS, generationNanos / DemoDeployment.PER_TOKEN.toNanos());
             }
         }
         return 0;
--- a/tools/src/main/java/org/copperspindle/demo/DemoUpstream.java
+++ b/tools/src/main/java/org/copperspindle/demo/DemoUpstream.java
@@ -5,21 +5,21 @@
 import org.copperspindle.emulator.FakeUpstream;
 
 /**
- * One upstream of the demonstration: a fake and the agent beside it.
+ * An upstream of the demonstration: a fake server and its agent.
  *
- * @param id    its identity
- * @param pool  pool that it belongs to
- * @param fake  the fake
- * @param agent the agent
+ * @param id    upstream id
+ * @param pool  pool of the upstream
+ * @param fake  the fake server
+ * @param agent the agent process
  */
 record DemoUpstream(String id, PoolSettings pool, FakeUpstream fake, CopperspindleProcess agent) {
 
-    /** Leaves as an operator's planned stop would: new work is refused, work in progress is finished. */
+    /** Stops gracefully, as in planned maintenance: new work is refused, work in progress is finished. */
     void drain() throws InterruptedException {
         agent.stop();
     }
 
-    /** Dies as a lost VM would: agent and upstream at once, whatever they are doing. */
+    /** Stops abruptly, as when a VM is lost: agent and upstream at once, with work in progress. */
     void kill() {
         agent.kill();
         fake.close();
--- a/tools/src/main/java/org/copperspindle/demo/PromiseCheck.java
+++ b/tools/src/main/java/org/copperspindle/demo/PromiseCheck.java
@@ -12,7 +12,8 @@
 import org.copperspindle.emulator.FakeKind;
 
 /**
- * Checks the promises from the callers' answers and the fakes' ledger alone; nothing that the system counts is used.
+ * Checks the delivery promises of the system. The check uses only the responses that callers received and the ledger of
+ * the fake upstreams, no counters of the system itself.
  */
 final class PromiseCheck {
 
@@ -21,21 +22,21 @@
     private final Deployment deployment;
     private final List<DemoAnswer> answers;
     private final ExecutionLedger ledger;
-    private final Map<String, Integer> runsByRequest;
+    private final Map<String, Integer> executionsByRequest;
 
     PromiseCheck(Deployment deployment, List<DemoAnswer> answers, ExecutionLedger ledger) {
         this.deployment = deployment;
         this.answers = answers;
         this.ledger = ledger;
-        this.runsByRequest = ledger.byRequest();
+        this.executionsByRequest = ledger.byRequest();
     }
 
     /**
-     * One promise.
+     * Result of the check of one promise.
      *
-     * @param promise what was promised
-     * @param checked cases that were checked
-     * @param broken  cases in which it was broken
+     * @param promise name of the promise
+     * @param checked number of cases checked
+     * @param broken  number of cases in which the promise was broken
      * @param example the first broken case, empty if there is none
      */
     record Result(String promise, long checked, long broken, String example) {}
@@ -46,20 +47,21 @@
         List<DemoAnswer> refused =
                 answers.stream().filter(a -> a.verdict().equals(NOT_RUN)).toList();
         List<Result> results = new ArrayList<>();
-        results.add(answered("lost: no answer at all", answers, a -> a.outcome() == DemoAnswer.Outcome.NONE));
-        results.add(answered(
+        results.add(checkAnswers("lost: no answer at all", answers, a -> a.outcome() == DemoAnswer.Outcome.NONE));
+        results.add(checkAnswers(
                 "lost: complete answer, parts missing or never run",
                 complete,
                 a -> a.outcome() == DemoAnswer.Outcome.SPOILT || neverRan(a)));
-        results.add(answered("doubled parts in an answer", complete, a -> a.outcome() == DemoAnswer.Outcome.DOUBLED));
         results.add(
-                answered("foreign: another call's answer", complete, a -> a.outcome() == DemoAnswer.Outcome.FOREIGN));
-        results.add(answered("ran after NOT_RUN", refused, this::ranAfterNotRun));
-        results.add(unrepeatableTwice());
+                checkAnswers("doubled parts in an answer", complete, a -> a.outcome() == DemoAnswer.Outcome.DOUBLED));
+        results.add(checkAnswers(
+                "foreign: another call's answer", complete, a -> a.outcome() == DemoAnswer.Outcome.FOREIGN));
+        results.add(checkAnswers("ran after NOT_RUN", refused, this::ranAfterNotRun));
+        results.add(checkUnrepeatableCalls());
         return results;
     }
 
-    private Result answered(String promise, List<DemoAnswer> checked, Predicate<DemoAnswer> broken) {
+    private Result checkAnswers(String promise, List<DemoAnswer> checked, Predicate<DemoAnswer> broken) {
         List<DemoAnswer> found = checked.stream().filter(broken).toList();
         String example = found.stream().findFirst().map(PromiseCheck::describe).orElse("");
         return new Result(promise, checked.size(), found.size(), example);
@@ -68,27 +70,27 @@
     private boolean neverRan(DemoAnswer answer) {
         return answer.outcome() == DemoAnswer.Outcome.WHOLE
                 && answer.call().pipeline().stages().stream()
-                        .anyMatch(s -> ledger.count(kind(s), answer.call().token()) == 0);
+                        .anyMatch(s -> ledger.count(fakeKind(s), answer.call().token()) == 0);
     }
 
     private boolean ranAfterNotRun(DemoAnswer answer) {
-        return !answer.requestId().isEmpty() && runsByRequest.containsKey(answer.requestId());
+        return !answer.requestId().isEmpty() && executionsByRequest.containsKey(answer.requestId());
     }
 
-    /** Every key of an unrepeatable call, whatever its answers were: each of its unrepeatable stages ran at most once. */
-    private Result unrepeatableTwice() {
+    /** Checks that each unrepeatable stage of an unrepeatable call ran at most once per key, whatever was answered. */
+    private Result checkUnrepeatableCalls() {
         Map<String, DemoAnswer> byToken = answers.stream()
                 .filter(a -> !a.call().pipeline().repeatable())
                 .collect(Collectors.toMap(a -> a.call().token(), a -> a, (a, b) -> a));
-        return answered(
+        return checkAnswers(
                 "unrepeatable call run twice",
                 List.copyOf(byToken.values()),
                 a -> a.call().pipeline().stages().stream()
                         .anyMatch(s -> !s.repeatable()
-                                && ledger.count(kind(s), a.call().token()) > 1));
+                                && ledger.count(fakeKind(s), a.call().token()) > 1));
     }
 
-    private FakeKind kind(StageSettings stage) {
+    private FakeKind fakeKind(StageSettings stage) {
         return FakeKind.valueOf(
                 deployment.pool(stage.pool()).orElseThrow().kind().name());
     }
--- a/tools/src/main/java/org/copperspindle/demo/TextTable.java
+++ b/tools/src/main/java/org/copperspindle/demo/TextTable.java
@@ -5,18 +5,18 @@
 import java.util.List;
 
 /**
- * A table of text with aligned columns: the first ones, which hold words, to the left, the others to the right.
+ * A text table with aligned columns: the first columns are left-aligned, the others, which hold numbers, right-aligned.
  */
 final class TextTable {
 
     private static final String GAP = "  ";
 
-    private final int words;
+    private final int leftAlignedColumns;
     private final List<String[]> rows = new ArrayList<>();
 
-    TextTable(int words, String... heads) {
-        this.words = words;
-        rows.add(heads);
+    TextTable(int leftAlignedColumns, String... headers) {
+        this.leftAlignedColumns = leftAlignedColumns;
+        rows.add(headers);
     }
 
     void row(String... cells) {
@@ -33,7 +33,7 @@
         for (String[] row : rows) {
             StringBuilder line = new StringBuilder(GAP);
             for (int i = 0; i < row.length; i++) {
-                String pattern = i < words ? "%-" : "%";
+                String pattern = i < leftAlignedColumns ? "%-" : "%";
                 line.append(i == 0 ? "" : GAP).append(String.format(pattern + widths[i] + "s", row[i]));
             }
             out.println(line);
--- a/tools/src/main/java/org/copperspindle/demo/package-info.java
+++ b/tools/src/main/java/org/copperspindle/demo/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The demonstration: a whole deployment in one process, a trace replayed over HTTP, and the promises checked against a
- * ledger that the system does not write.
+ * The demonstration: a complete deployment in one process, a trace replayed over HTTP, and a check of the delivery
+ * promises against a ledger that only the fake upstreams write.
  */
 package org.copperspindle.demo;
--- a/tools/src/test/java/org/copperspindle/demo/DemoTraceTest.java
+++ b/tools/src/test/java/org/copperspindle/demo/DemoTraceTest.java
@@ -12,13 +12,13 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * The traces that ship for the demonstration fit the deployments that ship.
+ * The shipped demonstration traces match the shipped deployments.
  */
 class DemoTraceTest {
 
     @ParameterizedTest
     @ValueSource(strings = {"wijzerplaat", "aarebogen"})
-    void shippedTraceCallsEverythingAndOnlyWhatItsAccountsMay(String name) throws Exception {
+    void shippedTraceCallsEveryPipelineWithAuthorizedAccounts(String name) throws Exception {
         Deployment deployment = DeploymentLoader.load(Path.of("..", "conf", name + ".ini"));
         List<TraceCall> calls = new DemoTrace(deployment, 1)
                 .calls(TraceReader.read(Path.of("..", "traces", "demo", name + ".jsonl"), deployment));
--- a/tools/src/test/java/org/copperspindle/demo/PromiseCheckTest.java
+++ b/tools/src/test/java/org/copperspindle/demo/PromiseCheckTest.java
@@ -27,7 +27,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * The demonstration's own check finds each kind of broken promise, so that its zeros mean something.
+ * The promise check of the demonstration detects each kind of broken promise, so that a count of zero is meaningful.
  */
 class PromiseCheckTest {
 
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void rightAnswersBreakNothing() {
+    void correctAnswerBreaksNoPromise() {
         DemoCall call = call("install", "t1", false);
         ledger.ran(new Execution(FakeKind.SERVICE, 1, "t1", "r1", "a1"));
 
@@ -61,14 +61,14 @@
                 "503 | {\"verdict\":\"NOT_RUN\",\"reason\":\"draining\"}            | ran after NOT_RUN",
                 "500 | {}                                                          | lost: no answer at all"
             })
-    void wrongAnswerIsFound(int status, String body, String promise) {
+    void wrongAnswerIsDetected(int status, String body, String promise) {
         ledger.ran(new Execution(FakeKind.SERVICE, 1, "t1", "r1", "a1"));
 
         assertThat(broken(answer(call("install", "t1", false), status, body))).isEqualTo(promise);
     }
 
     @Test
-    void answerThatNoUpstreamMadeIsFound() {
+    void answerWithoutExecutionIsDetected() {
         DemoCall call = call("install", "t1", false);
 
         assertThat(broken(answer(call, 200, "{\"request\":" + call.body() + "}")))
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void secondRunIsFoundWhateverTheAnswerSays() {
+    void secondExecutionIsDetectedRegardlessOfTheAnswer() {
         ledger.ran(new Execution(FakeKind.SERVICE, 1, "t1", "r1", "a1"));
         ledger.ran(new Execution(FakeKind.SERVICE, 1, "t1", "r2", "a2"));
 
@@ -93,7 +93,7 @@
                 "true  | none",
                 "false | lost: no answer at all",
             })
-    void streamIsWholeOnlyWithItsEnd(boolean end, String promise) {
+    void streamIsCompleteOnlyWithItsEndEvent(boolean end, String promise) {
         DemoCall call = call("tag", "t1", true);
         for (FakeKind kind : List.of(FakeKind.ENCODER, FakeKind.RETRIEVER, FakeKind.ENGINE)) {
             ledger.ran(new Execution(kind, 1, "t1", "r1", "a1"));
@@ -104,7 +104,7 @@
                 .isEqualTo(promise);
     }
 
-    /** Returns the one promise that the answer breaks. */
+    /** Returns the promise that the answer breaks, or {@link #NONE}. */
     private String broken(DemoAnswer answer) {
         List<String> broken = new PromiseCheck(deployment, List.of(answer), ledger)
                 .check().stream()
@@ -132,7 +132,7 @@
         return DemoAnswer.of(call, new Response(status, body, type), Duration.ofMillis(1));
     }
 
-    /** An HTTP response as the client gives it. */
+    /** A fixed HTTP response. */
     private record Response(int statusCode, String body, String type) implements HttpResponse<String> {
 
         @Override
