--- a/tools/src/main/java/org/copperspindle/cli/ApplyClient.java
+++ b/tools/src/main/java/org/copperspindle/cli/ApplyClient.java
@@ -17,14 +17,14 @@
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 
 /**
- * Sends a change to control members in turn until one answers for certain or the time is over. Resending is safe: the
- * change id makes each resend get the first answer. Only where no request can have reached a member that leads does it
- * say that the change was refused without an answer; otherwise the outcome is unknown.
+ * Sends a configuration change to the control members in turn until one gives a definite response or the timeout
+ * expires. Retries are idempotent: a member answers a repeated change id with the response to the first request. If the
+ * timeout expires, the outcome is "refused" only if no request can have reached the leader; otherwise it is "unknown".
  */
 final class ApplyClient {
 
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
-    private static final long PAUSE_MILLIS = 200;
+    private static final long RETRY_DELAY_MILLIS = 200;
     private static final int OK = 200;
     private static final int REDIRECT = 307;
     private static final int BAD_REQUEST = 400;
@@ -40,16 +40,16 @@
     private final byte[] text;
     private final long deadline;
     private Optional<String> leader = Optional.empty();
-    private boolean mayBeTaken;
-    private String last = "no control member answered";
+    private boolean mayHaveBeenApplied;
+    private String lastProblem = "no control member answered";
 
     /**
      * Creates a client for one change.
      *
      * @param controls addresses of control members
-     * @param query    query that names the change
-     * @param text     the whole INI text
-     * @param timeout  time for the answer
+     * @param query    URL query with the change id, base version and operator
+     * @param text     complete INI text of the deployment file
+     * @param timeout  time limit over all retries
      */
     ApplyClient(List<String> controls, String query, byte[] text, Duration timeout) {
         this.controls = controls;
@@ -59,65 +59,67 @@
     }
 
     /**
-     * The answer for the operator.
+     * Outcome of the change as reported to the operator.
      *
-     * @param code exit code
-     * @param body JSON
+     * @param code exit code of the command
+     * @param body JSON text to print
      */
-    record Answer(ExitCode code, String body) {}
+    record ApplyResult(ExitCode code, String body) {}
 
-    Answer send() throws InterruptedException {
-        for (int turn = 0; left().toMillis() > 0; turn++) {
-            String target = leader.orElse(controls.get(turn % controls.size()));
-            boolean pointed = leader.isPresent();
+    ApplyResult send() throws InterruptedException {
+        for (int attempt = 0; remaining().toMillis() > 0; attempt++) {
+            String target = leader.orElse(controls.get(attempt % controls.size()));
+            boolean redirected = leader.isPresent();
             leader = Optional.empty();
-            Optional<Answer> answer = ask(target);
-            if (answer.isPresent()) {
-                return answer.get();
+            Optional<ApplyResult> result = sendTo(target);
+            if (result.isPresent()) {
+                return result.get();
             }
-            if (pointed || leader.isEmpty()) {
-                pause();
+            if (redirected || leader.isEmpty()) {
+                delayRetry();
             }
         }
-        ExitCode code = mayBeTaken ? ExitCode.UNKNOWN : ExitCode.FAILED;
-        String outcome = mayBeTaken ? "unknown" : "refused";
-        return new Answer(
+        ExitCode code = mayHaveBeenApplied ? ExitCode.UNKNOWN : ExitCode.FAILED;
+        String outcome = mayHaveBeenApplied ? "unknown" : "refused";
+        return new ApplyResult(
                 code,
                 JsonNodeFactory.instance
                         .objectNode()
                         .put("outcome", outcome)
-                        .put("reason", "no certain answer in time; the last one: " + last)
+                        .put("reason", "no certain answer in time; the last one: " + lastProblem)
                         .toString());
     }
 
-    private Optional<Answer> ask(String target) throws InterruptedException {
-        URI uri = URI.create("http://" + target + "/v1/config?" + query + "&wait-ms=" + left().toMillis());
+    private Optional<ApplyResult> sendTo(String target) throws InterruptedException {
+        URI uri = URI.create("http://" + target + "/v1/config?" + query + "&wait-ms="
+                + remaining().toMillis());
         HttpRequest request = HttpRequest.newBuilder(uri)
-                .timeout(left().plus(CONNECT_TIMEOUT))
+                .timeout(remaining().plus(CONNECT_TIMEOUT))
                 .POST(HttpRequest.BodyPublishers.ofByteArray(text))
                 .build();
         try {
-            return judge(http.send(request, HttpResponse.BodyHandlers.ofString(StandardCharsets.UTF_8)));
+            return interpret(http.send(request, HttpResponse.BodyHandlers.ofString(StandardCharsets.UTF_8)));
         } catch (ConnectException | HttpConnectTimeoutException e) {
-            last = target + ": not reached";
+            lastProblem = target + ": not reached";
         } catch (IOException e) {
-            // The request may have been read before the connection broke.
-            mayBeTaken = true;
-            last = target + ": " + e;
+            // The member may have read the request before the connection failed.
+            mayHaveBeenApplied = true;
+            lastProblem = target + ": " + e;
         }
         return Optional.empty();
     }
 
-    private Optional<Answer> judge(HttpResponse<String> response) {
-        last = response.body();
+    private Optional<ApplyResult> interpret(HttpResponse<String> response) {
+        lastProblem = response.body();
         switch (response.statusCode()) {
             case OK:
-                return Optional.of(new Answer(ExitCode.SUCCESS, response.body()));
+                return Optional.of(new ApplyResult(ExitCode.SUCCESS, response.body()));
             case CONFLICT:
-                return Optional.of(new Answer(ExitCode.FAILED, response.body()));
+                return Optional.of(new ApplyResult(ExitCode.FAILED, response.body()));
             case BAD_REQUEST, TOO_LARGE, UNPROCESSABLE:
-                // This member refuses before it looks for an earlier answer, so it can't speak for an earlier request.
-                return Optional.of(new Answer(mayBeTaken ? ExitCode.UNKNOWN : ExitCode.FAILED, response.body()));
+                // The member validates before it looks up the change id, so this says nothing about an earlier request.
+                return Optional.of(
+                        new ApplyResult(mayHaveBeenApplied ? ExitCode.UNKNOWN : ExitCode.FAILED, response.body()));
             case REDIRECT:
                 leader = response.headers()
                         .firstValue("Location")
@@ -126,17 +128,18 @@
             case UNAVAILABLE:
                 return Optional.empty();
             default:
-                mayBeTaken = true;
+                mayHaveBeenApplied = true;
                 return Optional.empty();
         }
     }
 
-    private Duration left() {
+    private Duration remaining() {
         return Duration.ofNanos(Math.max(0, deadline - System.nanoTime()));
     }
 
-    private static void pause() {
-        CompletableFuture.runAsync(() -> {}, CompletableFuture.delayedExecutor(PAUSE_MILLIS, TimeUnit.MILLISECONDS))
+    private static void delayRetry() {
+        CompletableFuture.runAsync(
+                        () -> {}, CompletableFuture.delayedExecutor(RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS))
                 .join();
     }
 }
--- a/tools/src/main/java/org/copperspindle/cli/ApplyCommand.java
+++ b/tools/src/main/java/org/copperspindle/cli/ApplyCommand.java
@@ -11,7 +11,7 @@
 import org.copperspindle.config.DeploymentLoader;
 
 /**
- * {@code copperspindle apply}: puts a whole deployment file in force.
+ * {@code copperspindle apply}: applies a complete deployment file as the new configuration.
  */
 final class ApplyCommand implements Command {
 
@@ -24,21 +24,27 @@
 
     @Override
     public void declare(Subparser parser) {
-        parser.help("put a deployment file in force")
-                .description("Checks a deployment file whole and applies it whole. Ends when it is in force everywhere."
-                        + " Exit code 0: accepted; 1: refused, not made; 2: the file is wrong; 3: not known, resend"
-                        + " the same command to learn.")
+        parser.help("apply a deployment file")
+                .description(
+                        "Validates a deployment file and applies it as a whole. Returns when it is in force everywhere."
+                                + " Exit code 0: accepted; 1: refused; 2: the file is invalid; 3: unknown, repeat"
+                                + " the same command to find out.")
                 .epilog("Example: copperspindle apply conf/wijzerplaat.ini --base 4 --change-id 2026-12-02-1"
                         + " --operator ann --control 127.0.0.1:7401");
         parser.addArgument("file").metavar("FILE").help("deployment file");
-        parser.addArgument("--base").required(true).type(Long.class).help("version that the file was made from");
-        parser.addArgument("--change-id").required(true).help("identity of the change; resending it is harmless");
-        parser.addArgument("--operator").required(true).help("who makes the change");
+        parser.addArgument("--base")
+                .required(true)
+                .type(Long.class)
+                .help("configuration version that the file is based on");
+        parser.addArgument("--change-id")
+                .required(true)
+                .help("unique id of the change; repeating it has no further effect");
+        parser.addArgument("--operator").required(true).help("name of the operator, for the audit trail");
         parser.addArgument("--timeout")
                 .metavar("SECONDS")
                 .type(Integer.class)
                 .setDefault(DEFAULT_TIMEOUT_SECONDS)
-                .help("how long to wait for a certain answer");
+                .help("time limit for a definite response");
         ControlAddresses.declare(parser);
     }
 
@@ -51,10 +57,10 @@
                 + "&operator=" + encode(arguments.getString("operator"))
                 + "&file=" + encode(file.getFileName().toString());
         Duration timeout = Duration.ofSeconds(arguments.getInt("timeout"));
-        ApplyClient.Answer answer =
+        ApplyClient.ApplyResult result =
                 new ApplyClient(ControlAddresses.of(arguments), query, Files.readAllBytes(file), timeout).send();
-        System.out.println(answer.body());
-        return answer.code();
+        System.out.println(result.body());
+        return result.code();
     }
 
     private static String encode(String text) {
--- a/tools/src/main/java/org/copperspindle/cli/AuditCommand.java
+++ b/tools/src/main/java/org/copperspindle/cli/AuditCommand.java
@@ -23,8 +23,8 @@
 import org.copperspindle.audit.AuditVerifier;
 
 /**
- * {@code copperspindle audit}: prints, filters and verifies the audit trail. The whole chain is verified whatever the
- * filters show.
+ * {@code copperspindle audit}: prints, filters and verifies the audit trail. The complete hash chain is verified,
+ * including the records that the filters leave out.
  */
 final class AuditCommand implements Command {
 
@@ -36,43 +36,49 @@
     @Override
     public void declare(Subparser parser) {
         parser.help("print and verify the audit trail")
-                .description("Prints the records that the filters choose, then verifies the whole chain. Exits with 1"
-                        + " if a record was changed.")
+                .description(
+                        "Prints the records that match the filters, then verifies the complete hash chain. Exits with 1"
+                                + " if a record was modified.")
                 .epilog("Example: copperspindle audit --control 127.0.0.1:7401 --kind change --from-version 40");
         MutuallyExclusiveGroup source = parser.addMutuallyExclusiveGroup().required(true);
-        source.addArgument("--control").metavar("IP:PORT").help("any control member, at its operators' address");
-        source.addArgument("--folder").metavar("FOLDER").help("trail files of one member, read offline");
-        parser.addArgument("--operator").metavar("NAME").help("who brought it about");
+        source.addArgument("--control").metavar("IP:PORT").help("operator address of any control member");
+        source.addArgument("--folder")
+                .metavar("FOLDER")
+                .help("folder with the audit files of one member, read offline");
+        parser.addArgument("--operator").metavar("NAME").help("operator or member that caused the record");
         parser.addArgument("--change-id").metavar("ID").help("change id, upstream, order id or voter");
         parser.addArgument("--kind")
                 .choices(Arrays.stream(AuditKind.values()).map(AuditKind::word).toList())
                 .help("kind of record");
-        parser.addArgument("--from-version").type(Long.class).setDefault(0L).help("lowest configuration version");
+        parser.addArgument("--from-version")
+                .type(Long.class)
+                .setDefault(0L)
+                .help("lowest configuration version to print");
         parser.addArgument("--to-version")
                 .type(Long.class)
                 .setDefault(Long.MAX_VALUE)
-                .help("highest version");
+                .help("highest configuration version to print");
         parser.addArgument("--since")
-                .type(AuditCommand::instant)
+                .type(AuditCommand::parseInstant)
                 .metavar("INSTANT")
-                .help("such as 2026-12-02T08:00:00Z");
+                .help("earliest time, such as 2026-12-02T08:00:00Z");
         parser.addArgument("--until")
-                .type(AuditCommand::instant)
+                .type(AuditCommand::parseInstant)
                 .metavar("INSTANT")
-                .help("such as 2026-12-02T18:00:00Z");
+                .help("latest time, such as 2026-12-02T18:00:00Z");
         parser.addArgument("--format")
                 .choices("text", "json")
                 .setDefault("text")
-                .help("output, one record a line");
+                .help("output format, one record per line");
     }
 
     @Override
     public ExitCode run(Namespace arguments) throws Exception {
         AuditPrinter printer = new AuditPrinter(System.out, filter(arguments), arguments.getString("format"));
         AuditVerifier verifier = read(arguments, printer::print);
-        boolean changed = verifier.findings().stream().anyMatch(AuditFinding.Changed.class::isInstance);
-        printer.finish(verifier, changed);
-        return changed ? ExitCode.FAILED : ExitCode.SUCCESS;
+        boolean modified = verifier.findings().stream().anyMatch(AuditFinding.Changed.class::isInstance);
+        printer.finish(verifier, modified);
+        return modified ? ExitCode.FAILED : ExitCode.SUCCESS;
     }
 
     private static AuditVerifier read(Namespace arguments, Consumer<AuditRecord> consumer) throws Exception {
@@ -81,7 +87,7 @@
         }
         Path folder = Path.of(arguments.getString("folder"));
         if (!Files.isDirectory(folder)) {
-            throw new IOException("no such folder: " + folder);
+            throw new IOException("audit folder does not exist: " + folder);
         }
         return new AuditFolder(folder).verify(consumer);
     }
@@ -93,20 +99,21 @@
                 Optional.ofNullable(arguments.getString("kind")).map(AuditKind::of),
                 arguments.getLong("from_version"),
                 arguments.getLong("to_version"),
-                millis(arguments.get("since"), 0),
-                millis(arguments.get("until"), Long.MAX_VALUE));
+                toMillis(arguments.get("since"), 0),
+                toMillis(arguments.get("until"), Long.MAX_VALUE));
     }
 
-    private static Instant instant(ArgumentParser parser, Argument argument, String value)
+    private static Instant parseInstant(ArgumentParser parser, Argument argument, String value)
             throws ArgumentParserException {
         try {
             return Instant.parse(value);
         } catch (DateTimeParseException e) {
-            throw new ArgumentParserException("not an instant such as 2026-12-02T08:00:00Z: " + value, e, parser);
+            throw new ArgumentParserException(
+                    "not an ISO 8601 instant such as 2026-12-02T08:00:00Z: " + value, e, parser);
         }
     }
 
-    private static long millis(Instant instant, long fallback) {
+    private static long toMillis(Instant instant, long fallback) {
         return instant == null ? fallback : instant.toEpochMilli();
     }
 }
--- a/tools/src/main/java/org/copperspindle/cli/AuditPrinter.java
+++ b/tools/src/main/java/org/copperspindle/cli/AuditPrinter.java
@@ -14,7 +14,7 @@
 import org.copperspindle.wire.MalformedFrameException;
 
 /**
- * Prints records as text or as JSON, one a line.
+ * Prints audit records and the verification result as text or as JSON, one JSON object per line.
  */
 final class AuditPrinter {
 
@@ -32,15 +32,15 @@
         try {
             AuditEntry entry = record.entry();
             if (filter.accepts(entry)) {
-                out.println(json ? node(record, entry).toString() : text(record, entry));
+                out.println(json ? toJson(record, entry).toString() : toText(record, entry));
             }
         } catch (MalformedFrameException e) {
             out.println("record=" + record.number() + " unreadable");
         }
     }
 
-    void finish(AuditVerifier verifier, boolean changed) {
-        String result = changed ? "changed" : "intact";
+    void finish(AuditVerifier verifier, boolean modified) {
+        String result = modified ? "changed" : "intact";
         if (json) {
             ObjectNode node = JsonNodeFactory.instance.objectNode();
             node.put("chain", result).put("checked", verifier.checked());
@@ -56,7 +56,7 @@
                 + verifier.head().number() + " digest=" + verifier.head().hex());
     }
 
-    private static String text(AuditRecord record, AuditEntry entry) {
+    private static String toText(AuditRecord record, AuditEntry entry) {
         StringBuilder line = new StringBuilder();
         line.append("record=").append(record.number());
         line.append(" time=").append(Instant.ofEpochMilli(entry.acceptedAtMillis()));
@@ -71,7 +71,7 @@
         return line.toString();
     }
 
-    private static ObjectNode node(AuditRecord record, AuditEntry entry) {
+    private static ObjectNode toJson(AuditRecord record, AuditEntry entry) {
         ObjectNode node = JsonNodeFactory.instance.objectNode();
         node.put("record", record.number())
                 .put("time", Instant.ofEpochMilli(entry.acceptedAtMillis()).toString())
--- a/tools/src/main/java/org/copperspindle/cli/AuditReader.java
+++ b/tools/src/main/java/org/copperspindle/cli/AuditReader.java
@@ -20,11 +20,12 @@
 import org.copperspindle.wire.MalformedFrameException;
 
 /**
- * Reads the trail of a control member page by page and verifies it against the chain's end in the replicated state.
+ * Reads the audit trail of a control member page by page and verifies it against the chain head in the replicated
+ * state.
  */
 final class AuditReader {
 
-    private static final Duration TIMEOUT = Duration.ofSeconds(30);
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(30);
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final HttpClient http = HttpClient.newHttpClient();
@@ -36,36 +37,39 @@
 
     AuditVerifier read(Consumer<AuditRecord> consumer) throws IOException, InterruptedException {
         AuditVerifier verifier = new AuditVerifier();
-        AuditHead end = AuditHead.EMPTY;
-        JsonNode page = page(0);
+        AuditHead head = AuditHead.EMPTY;
+        JsonNode page = fetchPage(0);
         while (!page.path("records").isEmpty()) {
             for (JsonNode encoded : page.path("records")) {
                 AuditRecord record = decode(encoded.asText());
                 verifier.accept(record, "", -1);
                 consumer.accept(record);
             }
-            end = head(page);
-            if (verifier.head().number() >= end.number()) {
+            head = parseHead(page);
+            if (verifier.head().number() >= head.number()) {
                 break;
             }
-            page = page(verifier.head().number());
+            page = fetchPage(verifier.head().number());
         }
-        // The member answers with the chain's end of the moment; a page that stops short of it ends the loop above.
-        verifier.finish(end);
+        // Each page carries the head at that time, since the chain may grow. If records up to the head are missing, an
+        // empty page ends the loop above, and the verifier reports the difference.
+        verifier.finish(head);
         return verifier;
     }
 
-    private JsonNode page(long after) throws IOException, InterruptedException {
+    private JsonNode fetchPage(long after) throws IOException, InterruptedException {
         URI uri = URI.create("http://" + control + AuditDoor.PATH + "?after=" + after);
-        HttpRequest request = HttpRequest.newBuilder(uri).timeout(TIMEOUT).build();
+        HttpRequest request =
+                HttpRequest.newBuilder(uri).timeout(REQUEST_TIMEOUT).build();
         HttpResponse<String> response = http.send(request, HttpResponse.BodyHandlers.ofString(StandardCharsets.UTF_8));
         if (response.statusCode() != 200) {
-            throw new IOException("the control member answered " + response.statusCode() + ": " + response.body());
+            throw new IOException(
+                    "control member responded with HTTP status " + response.statusCode() + ": " + response.body());
         }
         return JSON.readTree(response.body());
     }
 
-    private static AuditHead head(JsonNode page) {
+    private static AuditHead parseHead(JsonNode page) {
         return new AuditHead(
                 page.path("head-number").asLong(),
                 HexFormat.of().parseHex(page.path("head-digest").asText()));
@@ -75,7 +79,7 @@
         try {
             return AuditRecord.CODEC.decode(Base64.getDecoder().decode(encoded));
         } catch (MalformedFrameException e) {
-            throw new IOException("a record can't be read", e);
+            throw new IOException("malformed audit record in the response", e);
         }
     }
 }
--- a/tools/src/main/java/org/copperspindle/cli/Command.java
+++ b/tools/src/main/java/org/copperspindle/cli/Command.java
@@ -4,21 +4,21 @@
 import net.sourceforge.argparse4j.inf.Subparser;
 
 /**
- * One command of the command line.
+ * A subcommand of the command-line interface.
  */
 interface Command {
 
     /**
-     * Returns the command's word.
+     * Returns the name that selects the command.
      *
      * @return for example {@code run}
      */
     String name();
 
     /**
-     * Declares help text and arguments.
+     * Declares the help text and the arguments.
      *
-     * @param parser the command's parser
+     * @param parser argument parser of this command
      */
     void declare(Subparser parser);
 
@@ -26,8 +26,8 @@
      * Runs the command.
      *
      * @param arguments parsed arguments
-     * @return the exit code
-     * @throws Exception on a failure that the launcher words
+     * @return the exit code of the process
+     * @throws Exception if the command fails; the launcher reports it and sets the exit code
      */
     ExitCode run(Namespace arguments) throws Exception;
 }
--- a/tools/src/main/java/org/copperspindle/cli/ControlAddresses.java
+++ b/tools/src/main/java/org/copperspindle/cli/ControlAddresses.java
@@ -8,7 +8,8 @@
 import net.sourceforge.argparse4j.inf.Subparser;
 
 /**
- * The option that names control members: given once or more often, each with one address or several between commas.
+ * The {@code --control} option: addresses of control members. It may be repeated, and each value may be a
+ * comma-separated list.
  */
 final class ControlAddresses {
 
@@ -21,7 +22,7 @@
                 .required(true)
                 .action(Arguments.append())
                 .metavar("IP:PORT[,IP:PORT...]")
-                .help("operators' addresses of control members; any will do, the others are tried if it fails");
+                .help("operator addresses of control members; one is enough, further ones are used as fallbacks");
     }
 
     static List<String> of(Namespace arguments) {
--- a/tools/src/main/java/org/copperspindle/cli/Copperspindle.java
+++ b/tools/src/main/java/org/copperspindle/cli/Copperspindle.java
@@ -13,7 +13,7 @@
 import org.copperspindle.settings.SettingsException;
 
 /**
- * The launcher: reads the command line and runs one command.
+ * Entry point of the command-line interface: parses the arguments and runs the selected command.
  */
 public final class Copperspindle {
 
@@ -35,9 +35,9 @@
     private Copperspindle() {}
 
     /**
-     * Runs the command line and exits with its code.
+     * Runs the selected command and exits with its exit code.
      *
-     * @param arguments the command line
+     * @param arguments command-line arguments
      */
     public static void main(String[] arguments) {
         System.exit(run(arguments).code());
--- a/tools/src/main/java/org/copperspindle/cli/DemoCommand.java
+++ b/tools/src/main/java/org/copperspindle/cli/DemoCommand.java
@@ -20,7 +20,8 @@
 import org.copperspindle.replay.TraceReader;
 
 /**
- * {@code copperspindle demo}: a whole deployment in this process, disturbed under load, with its promises checked.
+ * {@code copperspindle demo}: runs a complete deployment in this process, injects faults under load and checks the
+ * delivery promises.
  */
 final class DemoCommand implements Command {
 
@@ -34,18 +35,23 @@
 
     @Override
     public void declare(Subparser parser) {
-        parser.help("show a whole deployment at work")
-                .description("Starts a whole deployment in this process on loopback, with fake upstreams. Replays a"
-                        + " trace over HTTP; half way it applies a configuration, drains one upstream and kills"
-                        + " another. Ends with attainment, cost, verdicts and the promises checked; exit 1 if one was"
+        parser.help("demonstrate a complete deployment")
+                .description("Starts a complete deployment in this process on loopback, with fake upstreams. Replays a"
+                        + " trace over HTTP; halfway through it applies a configuration, drains one upstream and kills"
+                        + " another. Reports attainment, cost, verdicts and the promises checked; exit code 1 if one was"
                         + " broken.")
                 .epilog("Example: copperspindle demo --settings conf/aarebogen.ini --seed 7");
         parser.addArgument("--settings")
                 .metavar("FILE")
                 .setDefault(home().resolve(Path.of("conf", "wijzerplaat.ini")).toString())
                 .help("deployment file");
-        parser.addArgument("--trace").metavar("FILE").help("trace to replay; one ships for each shipped deployment");
-        parser.addArgument("--seed").type(Long.class).setDefault(1L).help("seed of entries, resent calls and victims");
+        parser.addArgument("--trace")
+                .metavar("FILE")
+                .help("trace to replay; default: the one shipped for the deployment");
+        parser.addArgument("--seed")
+                .type(Long.class)
+                .setDefault(1L)
+                .help("seed for the choice of entries, repeated calls and upstreams to stop");
     }
 
     @Override
@@ -62,7 +68,7 @@
         try {
             trace = TraceReader.read(traceFile, deployment);
         } catch (NoSuchFileException e) {
-            System.err.println("copperspindle: no trace " + e.getMessage() + "; name one with --trace");
+            System.err.println("copperspindle: trace file not found: " + e.getMessage() + "; specify one with --trace");
             return ExitCode.USAGE;
         }
         String text = Files.readString(file, StandardCharsets.UTF_8);
@@ -71,7 +77,7 @@
             DemoRun run = new DemoRun(deployment, text, trace, arguments.getLong("seed"), System.out);
             return run.run(data) ? ExitCode.SUCCESS : ExitCode.FAILED;
         } finally {
-            delete(data);
+            deleteRecursively(data);
         }
     }
 
@@ -79,7 +85,7 @@
         return Path.of(System.getProperty(HOME_PROPERTY, "."));
     }
 
-    private static void delete(Path folder) {
+    private static void deleteRecursively(Path folder) {
         try (Stream<Path> files = Files.walk(folder)) {
             files.sorted(Comparator.reverseOrder()).map(Path::toFile).forEach(File::delete);
         } catch (IOException e) {
--- a/tools/src/main/java/org/copperspindle/cli/EmulateCommand.java
+++ b/tools/src/main/java/org/copperspindle/cli/EmulateCommand.java
@@ -16,7 +16,7 @@
 import org.copperspindle.emulator.ResponseFault;
 
 /**
- * {@code copperspindle emulate}: one fake upstream as a process, for trying a deployment out.
+ * {@code copperspindle emulate}: runs one fake upstream as a process, to try out a deployment without model servers.
  */
 final class EmulateCommand implements Command {
 
@@ -30,40 +30,46 @@
     @Override
     public void declare(Subparser parser) {
         parser.help("run one fake upstream on loopback")
-                .description("Runs one fake upstream on loopback, for trying a deployment out without model servers."
-                        + " Its faults can be replaced while it runs: PUT /emulator/faults with JSON such as"
+                .description("Runs one fake upstream on loopback, to try out a deployment without model servers."
+                        + " The injected faults can be replaced at run time: PUT /emulator/faults with JSON such as"
                         + " {\"delayMillis\":200}; the fields are delayMillis, errorStatus, stall, draining, response.")
                 .epilog("Example: copperspindle emulate --kind engine --port 9001 --service-ms 20 --per-token-ms 5");
         parser.addArgument("--kind")
                 .required(true)
                 .choices("encoder", "retriever", "reranker", "engine", "service")
-                .help("interface that it answers by");
+                .help("interface to emulate");
         parser.addArgument("--port").type(Integer.class).setDefault(0).help("loopback port, 0 for a free one");
         parser.addArgument("--service-ms")
                 .type(Integer.class)
                 .setDefault(20)
-                .help("time of a call; for an engine, time until the first token");
-        parser.addArgument("--per-token-ms")
+                .help("duration of a call; for an engine, time to first token");
+        parser.addArgument("--per-token-ms").type(Integer.class).setDefault(5).help("engine: time per further token");
+        parser.addArgument("--max-tokens")
                 .type(Integer.class)
-                .setDefault(5)
-                .help("engine: time of each further token");
-        parser.addArgument("--max-tokens").type(Integer.class).setDefault(128).help("engine: longest answer");
-        parser.addArgument("--concurrency").type(Integer.class).setDefault(8).help("calls that run at once");
+                .setDefault(128)
+                .help("engine: maximum number of tokens in a response");
+        parser.addArgument("--concurrency")
+                .type(Integer.class)
+                .setDefault(8)
+                .help("maximum number of concurrent calls");
         parser.addArgument("--reports-load")
                 .action(Arguments.storeTrue())
-                .help("send the load header with each answer");
+                .help("send the load header with each response");
         declareFaults(parser);
     }
 
     private static void declareFaults(Subparser parser) {
-        parser.addArgument("--delay-ms").type(Long.class).setDefault(0L).help("fault: added to each call");
-        parser.addArgument("--error-status").type(Integer.class).setDefault(0).help("fault: answer with this status");
-        parser.addArgument("--stall").action(Arguments.storeTrue()).help("fault: do the work and never answer");
+        parser.addArgument("--delay-ms").type(Long.class).setDefault(0L).help("fault: delay added to each call");
+        parser.addArgument("--error-status")
+                .type(Integer.class)
+                .setDefault(0)
+                .help("fault: respond with this HTTP status");
+        parser.addArgument("--stall").action(Arguments.storeTrue()).help("fault: execute the call but never respond");
         parser.addArgument("--draining").action(Arguments.storeTrue()).help("fault: refuse new calls");
         parser.addArgument("--response")
                 .type(Arguments.caseInsensitiveEnumType(ResponseFault.class))
                 .setDefault(ResponseFault.NONE)
-                .help("fault: how answers are spoilt");
+                .help("fault: how responses are corrupted");
     }
 
     @Override
--- a/tools/src/main/java/org/copperspindle/cli/EvacuateCommand.java
+++ b/tools/src/main/java/org/copperspindle/cli/EvacuateCommand.java
@@ -14,11 +14,12 @@
 import net.sourceforge.argparse4j.inf.Subparser;
 
 /**
- * {@code copperspindle evacuate}: failure domains whose upstreams get nothing, and beginning and ending that.
+ * {@code copperspindle evacuate}: begins, ends or lists evacuations. The upstreams of an evacuated failure domain
+ * receive no new work.
  */
 final class EvacuateCommand implements Command {
 
-    /** A leader that is lost is replaced, and its successor answers, well within this. */
+    /** Long enough for the election of a new leader and its response after the old leader was lost. */
     private static final Duration TIMEOUT = Duration.ofSeconds(5);
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -35,56 +36,56 @@
 
     @Override
     public void declare(Subparser parser) {
-        parser.help("empty a failure domain, use it again, or list those that are empty")
+        parser.help("evacuate a failure domain, end an evacuation, or list evacuated failure domains")
                 .description(
-                        "Begins or ends the evacuation of a failure domain: its upstreams get nothing from any node, and what"
-                                + " runs there is finished. Without --begin and --end it lists what the first node that answers knows."
-                                + " Exit code 0: done; 1: refused; 3: no node gave a clear answer, and the order may be in force: give it"
-                                + " again.")
+                        "Begins or ends the evacuation of a failure domain: its upstreams get no new work, and work"
+                                + " in progress is finished. Without --begin and --end it lists the evacuations that a node knows."
+                                + " Exit code 0: done; 1: refused; 3: no definite response, the change may be in force: repeat"
+                                + " the command.")
                 .epilog("Example: copperspindle evacuate --control 127.0.0.1:8082 --begin leuven");
         MutuallyExclusiveGroup order = parser.addMutuallyExclusiveGroup();
-        order.addArgument("--begin").metavar("DOMAIN").help("the failure domain to empty");
-        order.addArgument("--end").metavar("DOMAIN").help("the failure domain to use again");
+        order.addArgument("--begin").metavar("DOMAIN").help("failure domain to evacuate");
+        order.addArgument("--end").metavar("DOMAIN").help("failure domain whose evacuation ends");
         ControlAddresses.declare(parser);
     }
 
     @Override
     public ExitCode run(Namespace arguments) throws Exception {
         for (String target : ControlAddresses.of(arguments)) {
-            Optional<HttpResponse<byte[]>> answer = ask(target, arguments);
-            if (answer.isPresent()) {
-                return show(answer.get());
+            Optional<HttpResponse<byte[]>> result = send(target, arguments);
+            if (result.isPresent()) {
+                return printResponse(result.get());
             }
         }
-        System.err.println("no node gave a clear answer");
+        System.err.println("no node gave a definite response");
         return ExitCode.UNKNOWN;
     }
 
-    /** Returns the answer of a node, unless it has none or can't say how the order ended. */
-    private Optional<HttpResponse<byte[]>> ask(String target, Namespace arguments) throws InterruptedException {
-        String begun = arguments.getString("begin");
-        String ended = arguments.getString("end");
-        Optional<HttpResponse<byte[]>> answer;
-        if (begun != null) {
-            answer = nodes.ask(target, "PUT", path(begun));
-        } else if (ended != null) {
-            answer = nodes.ask(target, "DELETE", path(ended));
+    /** Returns the response of a node; empty if it did not respond or does not know the outcome of the change. */
+    private Optional<HttpResponse<byte[]>> send(String target, Namespace arguments) throws InterruptedException {
+        String domainToBegin = arguments.getString("begin");
+        String domainToEnd = arguments.getString("end");
+        Optional<HttpResponse<byte[]>> result;
+        if (domainToBegin != null) {
+            result = nodes.send(target, "PUT", path(domainToBegin));
+        } else if (domainToEnd != null) {
+            result = nodes.send(target, "DELETE", path(domainToEnd));
         } else {
-            answer = nodes.ask(target, "GET", PATH);
+            result = nodes.send(target, "GET", PATH);
         }
-        answer.filter(given -> given.statusCode() >= SERVER_ERROR)
-                .ifPresent(unclear ->
-                        System.err.println(target + ": " + new String(unclear.body(), StandardCharsets.UTF_8)));
-        return answer.filter(given -> given.statusCode() < SERVER_ERROR);
+        result.filter(response -> response.statusCode() >= SERVER_ERROR)
+                .ifPresent(response ->
+                        System.err.println(target + ": " + new String(response.body(), StandardCharsets.UTF_8)));
+        return result.filter(response -> response.statusCode() < SERVER_ERROR);
     }
 
     private static String path(String domain) {
         return PATH + '/' + URLEncoder.encode(domain, StandardCharsets.UTF_8);
     }
 
-    private static ExitCode show(HttpResponse<byte[]> answer) throws IOException {
-        JsonNode body = MAPPER.readTree(answer.body());
-        if (answer.statusCode() != OK) {
+    private static ExitCode printResponse(HttpResponse<byte[]> result) throws IOException {
+        JsonNode body = MAPPER.readTree(result.body());
+        if (result.statusCode() != OK) {
             System.err.println("refused: " + body);
             return ExitCode.FAILED;
         }
--- a/tools/src/main/java/org/copperspindle/cli/ExitCode.java
+++ b/tools/src/main/java/org/copperspindle/cli/ExitCode.java
@@ -4,15 +4,15 @@
  * Exit codes of all commands.
  */
 enum ExitCode {
-    /** Done as asked. */
+    /** The command succeeded. */
     SUCCESS(0),
-    /** The command ran, and what it checked or asked for failed. */
+    /** The command ran, but its check failed or its request was refused. */
     FAILED(1),
-    /** Bad arguments or bad settings; nothing was started. */
+    /** Invalid arguments or settings; nothing was started. */
     USAGE(2),
     /** It is not known whether the change was made. */
     UNKNOWN(3),
-    /** An unexpected failure of the program itself. */
+    /** Unexpected internal error. */
     INTERNAL(70);
 
     private final int code;
--- a/tools/src/main/java/org/copperspindle/cli/ExplainCommand.java
+++ b/tools/src/main/java/org/copperspindle/cli/ExplainCommand.java
@@ -13,7 +13,7 @@
 import net.sourceforge.argparse4j.inf.Subparser;
 
 /**
- * {@code copperspindle explain}: one request's story from the logs of many processes.
+ * {@code copperspindle explain}: prints the timeline of one request from the logs of several processes.
  */
 final class ExplainCommand implements Command {
 
@@ -26,13 +26,14 @@
 
     @Override
     public void declare(Subparser parser) {
-        parser.help("tell what happened to one request")
-                .description("Reads logs of any number of processes and prints what they tell of one request, in order,"
-                        + " with what was believed meanwhile of its upstreams and of its node's lease. Clocks that differ"
-                        + " are brought in line. Exit code 0: the request was found; 1: it was not.")
+        parser.help("print the timeline of one request")
+                .description(
+                        "Reads the logs of any number of processes and prints the lines about one request in order,"
+                                + " with the state changes of its upstreams and of its node's lease around that time. Clock skew"
+                                + " is compensated. Exit code 0: the request was found; 1: it was not.")
                 .epilog("Example: copperspindle explain --request 9c41d07be2a35f68 node-1.log node-2.log");
         parser.addArgument("--request").required(true).help("id of the request");
-        parser.addArgument("logs").nargs("+").help("log files; - reads standard input");
+        parser.addArgument("logs").nargs("+").help("log files; - for standard input");
     }
 
     @Override
@@ -41,12 +42,13 @@
         for (String log : arguments.<String>getList("logs")) {
             read(log, lines);
         }
-        RequestStory story = RequestStory.of(arguments.getString("request"), lines);
-        if (story.isEmpty()) {
-            System.err.println("no line tells of this request; a flood drops lines (event=lines-dropped)");
+        RequestTimeline timeline = RequestTimeline.of(arguments.getString("request"), lines);
+        if (timeline.isEmpty()) {
+            System.err.println(
+                    "no log line mentions this request; under load, log lines may be dropped (event=lines-dropped)");
             return ExitCode.FAILED;
         }
-        story.print().forEach(System.out::println);
+        timeline.print().forEach(System.out::println);
         return ExitCode.SUCCESS;
     }
 
--- a/tools/src/main/java/org/copperspindle/cli/HeldCommand.java
+++ b/tools/src/main/java/org/copperspindle/cli/HeldCommand.java
@@ -11,7 +11,8 @@
 import net.sourceforge.argparse4j.inf.Subparser;
 
 /**
- * {@code copperspindle held}: requests that nodes hold off because upstreams ended under them, and lifting such a hold.
+ * {@code copperspindle held}: lists the requests that nodes keep in quarantine because upstreams crashed while
+ * running them, or releases one of them.
  */
 final class HeldCommand implements Command {
 
@@ -30,53 +31,55 @@
 
     @Override
     public void declare(Subparser parser) {
-        parser.help("show or lift holds on requests that end upstreams")
+        parser.help("list or release quarantined requests")
                 .description(
-                        "Lists the requests that nodes hold off because upstreams ended each time they ran them, with"
-                                + " route, client account and the upstreams, or lets one run again at all nodes. Exit code 0: done;"
-                                + " 1: no node answered, or no such request is suspected.")
+                        "Lists the requests that nodes quarantine because upstreams crashed each time they ran them, with"
+                                + " route, client account and the upstreams, or releases one at all nodes. Exit code 0: done;"
+                                + " 1: no node responded, or the request is not under suspicion.")
                 .epilog("Example: copperspindle held --control 127.0.0.1:8082 --lift 0123456789abcdef0123456789abcdef");
-        parser.addArgument("--lift").metavar("DIGEST").help("the request that may run again");
+        parser.addArgument("--lift").metavar("DIGEST").help("digest of the request to release");
         ControlAddresses.declare(parser);
     }
 
     @Override
     public ExitCode run(Namespace arguments) throws Exception {
-        Optional<String> lifted = Optional.ofNullable(arguments.getString("lift"));
+        Optional<String> digestToRelease = Optional.ofNullable(arguments.getString("lift"));
         for (String target : ControlAddresses.of(arguments)) {
-            Optional<HttpResponse<byte[]>> answer = ask(target, lifted);
+            Optional<HttpResponse<byte[]>> answer = send(target, digestToRelease);
             if (answer.isPresent()) {
-                return show(answer.get(), lifted);
+                return printResponse(answer.get(), digestToRelease);
             }
         }
-        System.err.println("no node answered");
+        System.err.println("no node responded");
         return ExitCode.FAILED;
     }
 
-    private Optional<HttpResponse<byte[]>> ask(String target, Optional<String> lifted) throws InterruptedException {
-        return lifted.isPresent()
-                ? nodes.ask(target, "DELETE", PATH + '/' + lifted.get())
-                : nodes.ask(target, "GET", PATH);
+    private Optional<HttpResponse<byte[]>> send(String target, Optional<String> digestToRelease)
+            throws InterruptedException {
+        return digestToRelease.isPresent()
+                ? nodes.send(target, "DELETE", PATH + '/' + digestToRelease.get())
+                : nodes.send(target, "GET", PATH);
     }
 
-    private static ExitCode show(HttpResponse<byte[]> answer, Optional<String> lifted) throws IOException {
+    private static ExitCode printResponse(HttpResponse<byte[]> answer, Optional<String> digestToRelease)
+            throws IOException {
         if (answer.statusCode() == NOT_FOUND) {
-            System.err.println("not suspected: " + lifted.orElse(""));
+            System.err.println("not suspected: " + digestToRelease.orElse(""));
             return ExitCode.FAILED;
         }
         JsonNode body = MAPPER.readTree(answer.body());
-        if (lifted.isPresent()) {
-            System.out.println("lifted " + lifted.get());
+        if (digestToRelease.isPresent()) {
+            System.out.println("lifted " + digestToRelease.get());
         }
-        for (JsonNode held : body.path("held")) {
+        for (JsonNode quarantined : body.path("held")) {
             System.out.printf(
                     "digest=%s route=%s account=%s since_s=%d left_s=%d upstreams=%s%n",
-                    held.path("digest").asText(),
-                    held.path("route").asText(),
-                    held.path("account").asText(),
-                    held.path("since_ms").asLong() / MILLIS_PER_SECOND,
-                    held.path("left_ms").asLong() / MILLIS_PER_SECOND,
-                    held.path("upstreams"));
+                    quarantined.path("digest").asText(),
+                    quarantined.path("route").asText(),
+                    quarantined.path("account").asText(),
+                    quarantined.path("since_ms").asLong() / MILLIS_PER_SECOND,
+                    quarantined.path("left_ms").asLong() / MILLIS_PER_SECOND,
+                    quarantined.path("upstreams"));
         }
         return ExitCode.SUCCESS;
     }
--- a/tools/src/main/java/org/copperspindle/cli/LogLine.java
+++ b/tools/src/main/java/org/copperspindle/cli/LogLine.java
@@ -5,25 +5,25 @@
 import java.util.regex.Pattern;
 
 /**
- * One line of a process's log.
+ * A parsed line of the log of a process.
  *
- * @param process name of the process: what stands before the line's time, or the file it was read from
- * @param millis  time of day at that process, milliseconds
- * @param text    the line from its event on
+ * @param process name of the process: the last word before the timestamp, or the log file's name
+ * @param millis  timestamp by the clock of that process, milliseconds
+ * @param text    the line from {@code event=} on
  */
 record LogLine(String process, long millis, String text) {
 
     private static final Pattern LINE = Pattern.compile("^(.*?)ts=(\\d+) level=\\S+ logger=\\S+ (event=.*)$");
     private static final Pattern EVENT = Pattern.compile("event=(\\S+)");
 
-    /** Parses a line; empty if it is none of ours, such as a part of a stack trace. */
+    /** Parses a line; empty if it has another format, such as a line of a stack trace. */
     static Optional<LogLine> parse(String line, String source) {
         Matcher matcher = LINE.matcher(line);
         if (!matcher.matches()) {
             return Optional.empty();
         }
-        String[] before = matcher.group(1).trim().split("\\s+");
-        String process = before[before.length - 1];
+        String[] wordsBeforeTimestamp = matcher.group(1).trim().split("\\s+");
+        String process = wordsBeforeTimestamp[wordsBeforeTimestamp.length - 1];
         return Optional.of(
                 new LogLine(process.isEmpty() ? source : process, Long.parseLong(matcher.group(2)), matcher.group(3)));
     }
@@ -33,15 +33,15 @@
         return matcher.lookingAt() ? matcher.group(1) : "";
     }
 
-    /** Returns the value of a key. */
+    /** Returns the value of the first {@code key=value} pair with this key. */
     Optional<String> value(String key) {
         Matcher matcher =
                 Pattern.compile("(?:^| )" + Pattern.quote(key) + "=(\\S+)").matcher(text);
         return matcher.find() ? Optional.of(matcher.group(1)) : Optional.empty();
     }
 
-    /** Says whether the line is about a request, alone or among others. */
-    boolean isAbout(String request) {
+    /** Returns whether the line names the request, alone or in a list of requests. */
+    boolean concerns(String request) {
         if (value("request").filter(request::equals).isPresent()) {
             return true;
         }
@@ -52,7 +52,7 @@
                         .find();
     }
 
-    LogLine shifted(long by) {
-        return new LogLine(process, millis + by, text);
+    LogLine withOffset(long offsetMillis) {
+        return new LogLine(process, millis + offsetMillis, text);
     }
 }
--- a/tools/src/main/java/org/copperspindle/cli/MeasureCommand.java
+++ b/tools/src/main/java/org/copperspindle/cli/MeasureCommand.java
@@ -14,7 +14,7 @@
 import org.copperspindle.capacity.CapacitySlope;
 
 /**
- * {@code copperspindle measure}: repeats the measurements behind the capacity page.
+ * {@code copperspindle measure}: repeats the measurements on which the capacity page is based.
  */
 final class MeasureCommand implements Command {
 
@@ -29,13 +29,13 @@
 
     @Override
     public void declare(Subparser parser) {
-        parser.help("measure what each role costs as it grows")
-                .description("Measures with small stand-ins on loopback and prints a straight line for each cost."
-                        + " Takes a few minutes; run it on a machine that does nothing else.")
+        parser.help("measure how the cost of each role grows with its load")
+                .description("Measures small stand-in deployments on loopback and prints a linear fit for each cost."
+                        + " Takes a few minutes; run it on an otherwise idle machine.")
                 .epilog("Example: copperspindle measure --probe leases");
         parser.addArgument("--probe")
                 .choices(CapacityProbeFactory.names())
-                .help("only this measurement; all of them if not given");
+                .help("run only this measurement; default: all");
         parser.addArgument("--" + FORMAT)
                 .choices("text", JSON_FORMAT)
                 .setDefault("text")
@@ -44,12 +44,12 @@
 
     @Override
     public ExitCode run(Namespace arguments) throws Exception {
-        // A line for each measured request would drown the result and count as its cost.
+        // Logging each measured request would clutter the output and count as part of its cost.
         Configurator.setRootLevel(Level.ERROR);
-        String chosen = arguments.getString("probe");
+        String selectedProbe = arguments.getString("probe");
         List<CapacitySlope> slopes = new ArrayList<>();
         for (CapacityProbe probe : CapacityProbeFactory.all()) {
-            if (chosen == null || chosen.equals(probe.name())) {
+            if (selectedProbe == null || selectedProbe.equals(probe.name())) {
                 slopes.addAll(probe.measure(step -> System.err.println("measuring " + probe.name() + ": " + step)));
             }
         }
--- a/tools/src/main/java/org/copperspindle/cli/NodeClient.java
+++ b/tools/src/main/java/org/copperspindle/cli/NodeClient.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 
 /**
- * Asks nodes at their operators' addresses. Where a node names another one that can answer, that one is asked.
+ * HTTP client for the operator addresses of nodes. Follows redirects to the node that can handle the request.
  */
 final class NodeClient {
 
@@ -19,7 +19,7 @@
     /**
      * Creates a client.
      *
-     * @param timeout longest wait for one node
+     * @param timeout time limit for each request
      */
     NodeClient(Duration timeout) {
         this.timeout = timeout;
@@ -30,15 +30,15 @@
     }
 
     /**
-     * Sends a request without a body. Why there is no answer goes to the standard error stream.
+     * Sends a request without a body. If it fails, prints the cause to the standard error stream.
      *
      * @param target IP:PORT of the node
      * @param method HTTP method
-     * @param path   what is asked for
-     * @return the answer, whatever its status; empty if none came
+     * @param path   path of the URL
+     * @return the response with any status; empty if there was none
      * @throws InterruptedException if the wait is interrupted
      */
-    Optional<HttpResponse<byte[]>> ask(String target, String method, String path) throws InterruptedException {
+    Optional<HttpResponse<byte[]>> send(String target, String method, String path) throws InterruptedException {
         HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + target + path))
                 .timeout(timeout)
                 .method(method, HttpRequest.BodyPublishers.noBody())
--- a/tools/src/main/java/org/copperspindle/cli/ReplayCommand.java
+++ b/tools/src/main/java/org/copperspindle/cli/ReplayCommand.java
@@ -14,7 +14,7 @@
 import org.copperspindle.replay.TraceReader;
 
 /**
- * {@code copperspindle replay}: replays traces against their stated outcomes.
+ * {@code copperspindle replay}: replays traces and checks their expected outcomes.
  */
 final class ReplayCommand implements Command {
 
@@ -25,16 +25,16 @@
 
     @Override
     public void declare(Subparser parser) {
-        parser.help("replay traces against their stated outcomes")
+        parser.help("replay traces and check their expected outcomes")
                 .description("Replays each trace in virtual time under a policy and under the baseline, prints both,"
-                        + " and checks the outcomes that the trace states. Exit code 1 if one is not met.")
+                        + " and checks the outcomes that the trace expects. Exit code 1 if one is not met.")
                 .epilog("Example: copperspindle replay traces/aarebogen-ordinary.jsonl --settings conf/aarebogen.ini");
         parser.addArgument("trace").metavar("TRACE").nargs("+").help("trace files");
         parser.addArgument("--settings").required(true).metavar("FILE").help("deployment file");
         parser.addArgument("--policy")
                 .choices("adaptive", "baseline", "least_load")
                 .setDefault("adaptive")
-                .help("policy to judge");
+                .help("policy to evaluate");
     }
 
     @Override
--- a/tools/src/main/java/org/copperspindle/cli/RequestTimeline.java
+++ b/tools/src/main/java/org/copperspindle/cli/RequestTimeline.java
@@ -9,15 +9,15 @@
 import java.util.Set;
 
 /**
- * What the logs of many processes tell of one request, in order: its own lines, and what was believed meanwhile of the
- * upstreams that it met and of the lease of the node that had it.
+ * The log lines of several processes that explain one request, in time order: the lines about the request itself, and
+ * the state changes of its upstreams and of the lease of the node that received it.
  */
-final class RequestStory {
+final class RequestTimeline {
 
-    /** Beliefs from so long before the request may have decided it. */
+    /** State changes up to this long before the request are included, since they may have influenced it. */
     private static final long CONTEXT_MILLIS = 10_000;
 
-    private static final Set<String> NODE_EVENTS = Set.of(
+    private static final Set<String> NODE_STATE_EVENTS = Set.of(
             "lease-lost",
             "lease-held",
             "version-held",
@@ -32,44 +32,48 @@
 
     private final List<LogLine> lines;
 
-    private RequestStory(List<LogLine> lines) {
+    private RequestTimeline(List<LogLine> lines) {
         this.lines = lines;
     }
 
-    /** Puts the story of a request together. */
-    static RequestStory of(String request, List<LogLine> all) {
-        Map<String, List<LogLine>> own = new LinkedHashMap<>();
+    /** Selects and orders the lines that explain a request. */
+    static RequestTimeline of(String request, List<LogLine> all) {
+        Map<String, List<LogLine>> linesByProcess = new LinkedHashMap<>();
         for (LogLine line : all) {
-            if (line.isAbout(request)) {
-                own.computeIfAbsent(line.process(), p -> new ArrayList<>()).add(line);
+            if (line.concerns(request)) {
+                linesByProcess
+                        .computeIfAbsent(line.process(), p -> new ArrayList<>())
+                        .add(line);
             }
         }
-        if (own.isEmpty()) {
-            return new RequestStory(List.of());
+        if (linesByProcess.isEmpty()) {
+            return new RequestTimeline(List.of());
         }
-        List<LogLine> home = home(own);
-        long begin = home.get(0).millis();
-        long end = home.get(home.size() - 1).millis();
-        // Other nodes run a request's stages, which are over before its first attempt.
-        long stagesEnd = home.stream()
+        List<LogLine> receivingNodeLines = receivingNode(linesByProcess);
+        long begin = receivingNodeLines.get(0).millis();
+        long end = receivingNodeLines.get(receivingNodeLines.size() - 1).millis();
+        // Other nodes take part in the stages only, which finish before the first attempt at the upstream.
+        long stagesEnd = receivingNodeLines.stream()
                 .filter(line -> line.event().equals("attempt-sent"))
                 .mapToLong(line -> line.millis() - 1)
                 .findFirst()
                 .orElse(end);
-        Map<String, Long> shifts = new LinkedHashMap<>();
-        own.forEach((process, told) -> shifts.put(process, told == home ? 0L : shift(told, begin, stagesEnd)));
-        List<LogLine> story = new ArrayList<>();
-        own.forEach((process, told) -> told.forEach(line -> story.add(line.shifted(shifts.get(process)))));
-        addContext(story, all, home.get(0).process(), shifts, begin, end);
-        story.sort(Comparator.comparingLong(LogLine::millis));
-        return new RequestStory(story);
+        Map<String, Long> clockOffsets = new LinkedHashMap<>();
+        linesByProcess.forEach((process, processLines) -> clockOffsets.put(
+                process, processLines == receivingNodeLines ? 0L : clockOffset(processLines, begin, stagesEnd)));
+        List<LogLine> timeline = new ArrayList<>();
+        linesByProcess.forEach((process, processLines) ->
+                processLines.forEach(line -> timeline.add(line.withOffset(clockOffsets.get(process)))));
+        addContext(timeline, all, receivingNodeLines.get(0).process(), clockOffsets, begin, end);
+        timeline.sort(Comparator.comparingLong(LogLine::millis));
+        return new RequestTimeline(timeline);
     }
 
     boolean isEmpty() {
         return lines.isEmpty();
     }
 
-    /** Returns the story as text, with times from its first line. */
+    /** Returns the lines as text, with times relative to the first line. */
     List<String> print() {
         long first = lines.stream().mapToLong(LogLine::millis).min().orElse(0);
         return lines.stream()
@@ -77,24 +81,24 @@
                 .toList();
     }
 
-    /** Returns the lines of the node that had the request. */
-    private static List<LogLine> home(Map<String, List<LogLine>> own) {
-        return own.values().stream()
-                .filter(told -> told.stream()
+    /** Returns the lines of the node that received the request from the caller. */
+    private static List<LogLine> receivingNode(Map<String, List<LogLine>> linesByProcess) {
+        return linesByProcess.values().stream()
+                .filter(processLines -> processLines.stream()
                         .anyMatch(line -> line.event().equals("request-admitted")
                                 || line.event().equals("request-refused")
                                 || line.event().equals("request-ended")))
                 .findFirst()
-                .orElse(own.values().iterator().next());
+                .orElse(linesByProcess.values().iterator().next());
     }
 
     /**
-     * Returns by how much another process's clock seems to be off: its part of the request lies between the request's
-     * beginning and its end.
+     * Estimates the clock offset of another process: the smallest correction that moves its lines about the request
+     * between the request's begin and end.
      */
-    private static long shift(List<LogLine> told, long begin, long end) {
-        long first = told.get(0).millis();
-        long last = told.get(told.size() - 1).millis();
+    private static long clockOffset(List<LogLine> processLines, long begin, long end) {
+        long first = processLines.get(0).millis();
+        long last = processLines.get(processLines.size() - 1).millis();
         if (first < begin) {
             return begin - first;
         }
@@ -102,18 +106,23 @@
     }
 
     private static void addContext(
-            List<LogLine> story, List<LogLine> all, String home, Map<String, Long> shifts, long begin, long end) {
+            List<LogLine> timeline,
+            List<LogLine> all,
+            String receivingNode,
+            Map<String, Long> clockOffsets,
+            long begin,
+            long end) {
         Set<String> upstreams = new HashSet<>();
-        story.forEach(line -> line.value("upstream").ifPresent(upstreams::add));
+        timeline.forEach(line -> line.value("upstream").ifPresent(upstreams::add));
         for (LogLine line : all) {
-            LogLine at = line.shifted(shifts.getOrDefault(line.process(), 0L));
-            boolean meanwhile = at.millis() >= begin - CONTEXT_MILLIS && at.millis() <= end;
-            boolean ofUpstream = line.event().startsWith("upstream-")
+            LogLine corrected = line.withOffset(clockOffsets.getOrDefault(line.process(), 0L));
+            boolean inTimeRange = corrected.millis() >= begin - CONTEXT_MILLIS && corrected.millis() <= end;
+            boolean concernsUpstream = line.event().startsWith("upstream-")
                     && line.value("upstream").filter(upstreams::contains).isPresent()
-                    && shifts.containsKey(line.process());
-            boolean ofNode = line.process().equals(home) && NODE_EVENTS.contains(line.event());
-            if (meanwhile && (ofUpstream || ofNode)) {
-                story.add(at);
+                    && clockOffsets.containsKey(line.process());
+            boolean concernsNode = line.process().equals(receivingNode) && NODE_STATE_EVENTS.contains(line.event());
+            if (inTimeRange && (concernsUpstream || concernsNode)) {
+                timeline.add(corrected);
             }
         }
     }
--- a/tools/src/main/java/org/copperspindle/cli/RunCommand.java
+++ b/tools/src/main/java/org/copperspindle/cli/RunCommand.java
@@ -15,7 +15,7 @@
 import org.copperspindle.settings.SettingsFile;
 
 /**
- * {@code copperspindle run}: one daemon with the roles that its settings name.
+ * {@code copperspindle run}: runs one daemon with the roles that its settings file configures.
  */
 final class RunCommand implements Command {
 
@@ -28,9 +28,9 @@
     public void declare(Subparser parser) {
         parser.help("run one daemon")
                 .description(
-                        "Runs one daemon with the roles that its settings file names. SIGTERM stops it gracefully.")
+                        "Runs one daemon with the roles that its settings file configures. SIGTERM stops it gracefully.")
                 .epilog("Example: copperspindle run --settings entry-1.ini");
-        parser.addArgument("--settings").required(true).metavar("FILE").help("settings of the process");
+        parser.addArgument("--settings").required(true).metavar("FILE").help("settings file of the process");
     }
 
     @Override
@@ -50,21 +50,21 @@
         System.out.println("started process=" + settings.id() + " wire=" + address(process.wireAddress())
                 + process.callerAddress().map(a -> " callers=" + address(a)).orElse("")
                 + process.operatorAddress().map(a -> " operators=" + address(a)).orElse(""));
-        awaitStop(process::stop);
+        stopOnShutdown(process::stop);
     }
 
     private static void runNode(GatewaySettings settings) throws Exception {
         GatewayNode node = GatewayNode.start(settings, new StandardDialects());
         System.out.println("started node=" + settings.name() + " callers=" + address(settings.callers()) + " operators="
                 + address(settings.control()));
-        awaitStop(node::stop);
+        stopOnShutdown(node::stop);
     }
 
     private static String address(java.net.InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    private static void awaitStop(Stoppable daemon) throws InterruptedException {
+    private static void stopOnShutdown(Stoppable daemon) throws InterruptedException {
         CountDownLatch stopped = new CountDownLatch(1);
         Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(daemon, stopped), "shutdown"));
         stopped.await();
@@ -80,11 +80,11 @@
         stopped.countDown();
     }
 
-    /** A daemon that ends without cutting anything off. */
+    /** A daemon that finishes the work in progress before it stops. */
     @FunctionalInterface
     private interface Stoppable {
         /**
-         * Stops it.
+         * Stops the daemon gracefully.
          *
          * @throws InterruptedException if the wait is interrupted
          */
--- a/tools/src/main/java/org/copperspindle/cli/SoakCommand.java
+++ b/tools/src/main/java/org/copperspindle/cli/SoakCommand.java
@@ -15,7 +15,8 @@
 import org.copperspindle.soak.SoakSettings;
 
 /**
- * {@code copperspindle soak}: nodes as processes of their own, disturbed from outside.
+ * {@code copperspindle soak}: runs nodes as separate processes under fault injection and checks the promises to
+ * callers.
  */
 final class SoakCommand implements Command {
 
@@ -30,53 +31,51 @@
 
     @Override
     public void declare(Subparser parser) {
-        parser.help("run nodes as processes, disturb them, and check what was promised")
+        parser.help("run nodes as separate processes, inject faults and check the promises to callers")
                 .description(
-                        "Starts nodes as processes of their own on loopback, with stand-ins for upstreams, callers and an"
-                                + " operator, and disturbs them by a plan drawn from the seed: signals, restarts, lost disks, links"
-                                + " that are delayed, reset, silenced or cut one way, upstreams that crash or drain, versions and"
-                                + " keys that change. Promises are judged by what callers and upstreams saw. Exit code 1 if one"
+                        "Starts nodes as separate processes on loopback, with stand-ins for upstreams, callers and an"
+                                + " operator, and injects faults by a plan from the seed: signals, restarts, lost disks, links"
+                                + " that are delayed, reset, silent or cut in one direction, upstreams that crash or drain, and"
+                                + " changes of versions and keys. Promises are checked by what callers and upstreams saw. Exit code 1 if one"
                                 + " was broken.")
                 .epilog("Example: copperspindle soak --seed 7 --count 5 --seconds 20");
-        parser.addArgument("--seed").type(Long.class).setDefault(1L).help("seed of the first soak");
-        parser.addArgument("--count")
-                .type(Integer.class)
-                .setDefault(1)
-                .help("soaks to run, with seeds one after the other");
+        parser.addArgument("--seed").type(Long.class).setDefault(1L).help("seed of the first run");
+        parser.addArgument("--count").type(Integer.class).setDefault(1).help("number of runs, with consecutive seeds");
         parser.addArgument("--seconds")
                 .type(Integer.class)
                 .setDefault(DEFAULT_SECONDS)
-                .help("time with disturbances");
+                .help("duration of the fault injection");
         parser.addArgument("--nodes")
                 .type(Integer.class)
                 .setDefault(DEFAULT_NODES)
-                .help("node processes; an even number");
+                .help("number of node processes; an even number");
         parser.addArgument("--callers")
                 .type(Integer.class)
                 .setDefault(DEFAULT_CALLERS)
-                .help("callers at work at once");
+                .help("number of concurrent callers");
         parser.addArgument("--no-fatal")
                 .action(Arguments.storeTrue())
-                .help("leave out the caller whose one request ends each upstream that runs it");
+                .help("leave out the caller whose request crashes each upstream that runs it");
         parser.addArgument("--no-evacuations")
                 .action(Arguments.storeTrue())
-                .help(
-                        "leave out the operator who evacuates failure domains, and engines that are cold after their start");
+                .help("leave out the operator who evacuates failure domains, and engines that start with a cold cache");
         parser.addArgument("--no-needs")
                 .action(Arguments.storeTrue())
-                .help("leave out upstreams that name limits and ask for rest");
-        parser.addArgument("--folder").setDefault("").help("for settings, data and logs; a temporary one if not given");
+                .help("leave out upstreams that announce limits and request backoffs");
+        parser.addArgument("--folder")
+                .setDefault("")
+                .help("folder for settings, data and logs; default: a temporary folder");
     }
 
     @Override
     public ExitCode run(Namespace arguments) throws Exception {
-        // Stand-ins break answers off on purpose; what their HTTP says of it would bury what the soak tells.
+        // Stand-ins abort responses on purpose; the HTTP warnings about it would hide the progress of the soak.
         Configurator.setLevel("org.copperspindle.http", Level.ERROR);
-        boolean kept = true;
-        String given = arguments.getString("folder");
-        Path folder = given.isEmpty() ? Files.createTempDirectory("copperspindle-soak") : Path.of(given);
-        long first = arguments.getLong("seed");
-        for (long seed = first; seed < first + arguments.getInt("count"); seed++) {
+        boolean passed = true;
+        String folderOption = arguments.getString("folder");
+        Path folder = folderOption.isEmpty() ? Files.createTempDirectory("copperspindle-soak") : Path.of(folderOption);
+        long firstSeed = arguments.getLong("seed");
+        for (long seed = firstSeed; seed < firstSeed + arguments.getInt("count"); seed++) {
             SoakSettings settings = new SoakSettings(
                     seed,
                     Duration.ofSeconds(arguments.getInt("seconds")),
@@ -86,17 +85,17 @@
                     !arguments.getBoolean("no_fatal"),
                     !arguments.getBoolean("no_evacuations"),
                     !arguments.getBoolean("no_needs"),
-                    launcher());
+                    nodeCommand());
             SoakReport report = Soak.run(settings, line -> System.out.println("soak " + line));
             System.out.println(report.summary() + " logs=" + settings.folder());
             report.broken().forEach(promise -> System.out.println("  broken " + promise));
-            kept &= report.broken().isEmpty();
+            passed &= report.broken().isEmpty();
         }
-        return kept ? ExitCode.SUCCESS : ExitCode.FAILED;
+        return passed ? ExitCode.SUCCESS : ExitCode.FAILED;
     }
 
-    /** Nodes run the program that this process runs, with the memory of a small VM. */
-    static List<String> launcher() {
+    /** Returns the command that starts a node: the program of this process, with the memory of a small VM. */
+    static List<String> nodeCommand() {
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
         return List.of(
                 java,
--- a/tools/src/main/java/org/copperspindle/cli/StatusCommand.java
+++ b/tools/src/main/java/org/copperspindle/cli/StatusCommand.java
@@ -15,7 +15,8 @@
 import net.sourceforge.argparse4j.inf.Subparser;
 
 /**
- * {@code copperspindle status}: leader, versions in force, leases, upstreams and changes under way.
+ * {@code copperspindle status}: prints the leader, configuration versions in force, leases, upstreams and pending
+ * changes.
  */
 final class StatusCommand implements Command {
 
@@ -32,28 +33,28 @@
 
     @Override
     public void declare(Subparser parser) {
-        parser.help("show what control knows")
+        parser.help("show the state of the control members")
                 .description("Shows the leader, the versions in force at each member, leases, upstreams and changes"
-                        + " under way. Exit code 0: the leader answered; 1: only others or none did.")
+                        + " that are pending. Exit code 0: the leader responded; 1: only other members or none did.")
                 .epilog("Example: copperspindle status --control 127.0.0.1:7401,127.0.0.1:7402 --format json");
         parser.addArgument("--format")
                 .choices("text", "json")
                 .setDefault("text")
-                .help("form of the output");
+                .help("output format");
         ControlAddresses.declare(parser);
     }
 
     @Override
     public ExitCode run(Namespace arguments) throws Exception {
         Deque<String> targets = new ArrayDeque<>(ControlAddresses.of(arguments));
-        Set<String> asked = new HashSet<>();
+        Set<String> visited = new HashSet<>();
         Optional<JsonNode> best = Optional.empty();
         while (!targets.isEmpty()) {
             String target = targets.poll();
-            if (!asked.add(target)) {
+            if (!visited.add(target)) {
                 continue;
             }
-            Optional<JsonNode> answer = ask(target);
+            Optional<JsonNode> answer = fetch(target);
             if (answer.isPresent()) {
                 best = answer;
                 if (answer.get().path("leads").asBoolean()) {
@@ -66,7 +67,7 @@
             }
         }
         if (best.isEmpty()) {
-            System.err.println("no control member answered");
+            System.err.println("no control member responded");
             return ExitCode.FAILED;
         }
         boolean json = arguments.getString("format").equals("json");
@@ -74,9 +75,9 @@
         return best.get().path("leads").asBoolean() ? ExitCode.SUCCESS : ExitCode.FAILED;
     }
 
-    private Optional<JsonNode> ask(String target) throws InterruptedException {
+    private Optional<JsonNode> fetch(String target) throws InterruptedException {
         Optional<HttpResponse<byte[]>> answer =
-                nodes.ask(target, "GET", "/v1/status").filter(given -> given.statusCode() == OK);
+                nodes.send(target, "GET", "/v1/status").filter(received -> received.statusCode() == OK);
         if (answer.isEmpty()) {
             return Optional.empty();
         }
--- a/tools/src/main/java/org/copperspindle/cli/StatusText.java
+++ b/tools/src/main/java/org/copperspindle/cli/StatusText.java
@@ -6,7 +6,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * Words a status for people.
+ * Formats the JSON status of a control member as text.
  */
 final class StatusText {
 
@@ -14,16 +14,16 @@
 
     static String of(JsonNode status) {
         StringBuilder out = new StringBuilder();
-        line(
+        appendLine(
                 out,
                 "leader %s  term %d  version %d  digest %s",
-                status.path("leads").asBoolean() ? "this member" : orNone(status.path("leader")),
+                status.path("leads").asBoolean() ? "this member" : textOrNone(status.path("leader")),
                 status.path("term").asLong(),
                 status.path("version").asLong(),
                 status.path("digest").asText());
         out.append("\nchanges under way\n");
         for (JsonNode change : status.path("changes")) {
-            line(
+            appendLine(
                     out,
                     "  version %d  change %s  operator %s  %s",
                     change.path("version").asLong(),
@@ -33,7 +33,7 @@
         }
         out.append("\nmembers\n");
         for (JsonNode member : status.path("members")) {
-            line(
+            appendLine(
                     out,
                     "  %-24s %-6s version %-8s lease %d ms",
                     member.path("id").asText(),
@@ -46,7 +46,7 @@
                 .append(")\n");
         Set<Map.Entry<String, JsonNode>> pools = status.path("upstreams").properties();
         for (Map.Entry<String, JsonNode> pool : pools) {
-            line(
+            appendLine(
                     out,
                     "  %-24s serving %d  draining %d",
                     pool.getKey(),
@@ -56,11 +56,11 @@
         return out.toString().stripTrailing();
     }
 
-    private static String orNone(JsonNode text) {
+    private static String textOrNone(JsonNode text) {
         return text.asText().isEmpty() ? "none known" : text.asText();
     }
 
-    private static void line(StringBuilder out, String format, Object... values) {
+    private static void appendLine(StringBuilder out, String format, Object... values) {
         out.append(String.format(format, values)).append('\n');
     }
 }
--- a/tools/src/main/java/org/copperspindle/cli/package-info.java
+++ b/tools/src/main/java/org/copperspindle/cli/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The command line: one class for each command, and the launcher that chooses among them.
+ * The command-line interface: one class for each command, and the entry point that selects and runs it.
  */
 package org.copperspindle.cli;
--- a/tools/src/test/java/org/copperspindle/cli/ApplyFailoverTest.java
+++ b/tools/src/test/java/org/copperspindle/cli/ApplyFailoverTest.java
@@ -22,7 +22,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * What the operator is told when control members fail in the middle of an apply, over real sockets.
+ * Reports of the apply command when control members fail during a change, over real sockets.
  */
 class ApplyFailoverTest {
 
@@ -32,7 +32,7 @@
     private Path data;
 
     private CopperspindleProcess control;
-    private ServerSocket breaking;
+    private ServerSocket closingMember;
 
     @BeforeEach
     void start() throws Exception {
@@ -44,45 +44,46 @@
                 Optional.empty(),
                 Optional.empty(),
                 Optional.of(new ProcessSettings.ControlSettings(ANY, data, Duration.ofSeconds(5)))));
-        breaking = new ServerSocket(0);
-        Thread reader = new Thread(this::readAndBreak, "breaking");
+        closingMember = new ServerSocket(0);
+        Thread reader = new Thread(this::readAndClose, "breaking");
         reader.setDaemon(true);
         reader.start();
     }
 
     @AfterEach
     void stop() throws Exception {
-        breaking.close();
+        closingMember.close();
         control.kill();
     }
 
-    /** A member reads the change and breaks the connection; a second one is down. The third gives the answer. */
+    /** One member reads the change and closes the connection, a second one is down, the third responds. */
     @Test
-    void nextMemberIsAskedWhenOneFails() {
-        ExitCode code = apply("c1", 0, "30", address(breaking), "127.0.0.1:1", operators());
+    void triesTheNextMemberWhenOneFails() {
+        ExitCode code = apply("c1", 0, "30", address(closingMember), "127.0.0.1:1", operators());
 
         assertThat(code).isEqualTo(ExitCode.SUCCESS);
     }
 
-    /** Nobody but the breaking member can be reached: it may have passed the change on, so nothing is known. */
+    /** Only the member that closes connections is reachable. It may have applied the change: the outcome is unknown. */
     @Test
-    void brokenConnectionsLeaveTheOutcomeUnknown() {
-        assertThat(apply("c1", 0, "1", address(breaking))).isEqualTo(ExitCode.UNKNOWN);
+    void closedConnectionLeavesTheOutcomeUnknown() {
+        assertThat(apply("c1", 0, "1", address(closingMember))).isEqualTo(ExitCode.UNKNOWN);
     }
 
-    /** No member takes a connection: the change can't have been made, and the operator may say so. */
+    /** No member accepts a connection: the change cannot have been applied and is reported as refused. */
     @Test
-    void changeThatReachedNobodyIsRefused() {
+    void changeThatReachedNoMemberIsRefused() {
         assertThat(apply("c1", 0, "1", "127.0.0.1:1")).isEqualTo(ExitCode.FAILED);
     }
 
-    /** Two operators have changed the same version; the second is told by whom and which version stands in its way. */
+    /** Two operators change the same version: the refusal names the operator and the version of the first change. */
     @Test
-    void loserIsToldWhoWasFirst() {
+    void conflictNamesTheEarlierChange() {
         assertThat(apply("c1", 0, "30", operators())).isEqualTo(ExitCode.SUCCESS);
-        String told = output(() -> assertThat(apply("c2", 0, "30", operators())).isEqualTo(ExitCode.FAILED));
+        String printed =
+                output(() -> assertThat(apply("c2", 0, "30", operators())).isEqualTo(ExitCode.FAILED));
 
-        assertThat(told).contains("\"version\":1").contains("\"operator\":\"ann\"");
+        assertThat(printed).contains("\"version\":1").contains("\"operator\":\"ann\"");
         assertThat(apply("c1", 0, "30", operators())).isEqualTo(ExitCode.SUCCESS);
     }
 
@@ -135,9 +136,9 @@
         return out.toString(StandardCharsets.UTF_8);
     }
 
-    private void readAndBreak() {
-        while (!breaking.isClosed()) {
-            try (Socket socket = breaking.accept()) {
+    private void readAndClose() {
+        while (!closingMember.isClosed()) {
+            try (Socket socket = closingMember.accept()) {
                 socket.getInputStream().read(new byte[1024]);
             } catch (IOException e) {
                 return;
--- a/tools/src/test/java/org/copperspindle/cli/AuditCommandTest.java
+++ b/tools/src/test/java/org/copperspindle/cli/AuditCommandTest.java
@@ -24,7 +24,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * The command over a folder of trail files.
+ * The audit command on a folder of audit files and on a control member.
  */
 class AuditCommandTest {
 
@@ -53,7 +53,7 @@
         "--since, 1970-01-01T00:00:02Z, 3",
         "--until, 1970-01-01T00:00:02Z, 2"
     })
-    void filtersChooseRecords(String filter, String value, int expected) {
+    void filtersSelectRecords(String filter, String value, int expected) {
         List<String> lines = run(ExitCode.SUCCESS, filter, value, "--format", "json");
 
         assertThat(lines).hasSize(expected + 1);
@@ -61,11 +61,11 @@
     }
 
     /**
-     * A byte of the second record is changed on the disk. The command fails and names the record, the file and the
-     * place, even though the filter asks for other records.
+     * A byte of the second record is modified on disk. The command fails and names the record, the file and the offset,
+     * even though the filter leaves that record out.
      */
     @Test
-    void changedByteFailsTheCommand() throws Exception {
+    void modifiedByteFailsTheCommand() throws Exception {
         Path file;
         try (Stream<Path> files = Files.list(folder)) {
             file = files.findFirst().orElseThrow();
@@ -82,8 +82,8 @@
     }
 
     /**
-     * A control member accepts a change over its operators' interface, and the command reads the trail from there,
-     * verified against the head in the replicated state.
+     * A control member accepts a change through its operator endpoint. The command reads the trail from that endpoint
+     * and verifies it against the head in the replicated state.
      */
     @Test
     void readsFromControlMember() throws Exception {
@@ -110,7 +110,7 @@
             };
             ExitCode applied = Copperspindle.run(apply);
             for (int i = 0; i < 1000 && applied != ExitCode.SUCCESS; i++) {
-                // No leader yet; resending the same change is harmless.
+                // No leader yet; the change id makes the retry idempotent.
                 applied = Copperspindle.run(apply);
             }
             assertThat(applied).isEqualTo(ExitCode.SUCCESS);
@@ -131,7 +131,7 @@
         }
     }
 
-    /** Reads the trail until it holds a record of a kind. */
+    /** Reads the trail until it contains a record of a kind. */
     private static List<String> await(String address, String kind) {
         List<String> lines = List.of();
         for (int i = 0; i < 2000 && lines.size() < 3; i++) {
--- a/tools/src/test/java/org/copperspindle/cli/BadSettingsTest.java
+++ b/tools/src/test/java/org/copperspindle/cli/BadSettingsTest.java
@@ -16,9 +16,9 @@
     @TempDir
     private Path folder;
 
-    /** An operator makes three mistakes in one file: the command names all three, starts nothing and exits with 2. */
+    /** A settings file has three mistakes: the command reports all three, starts nothing and exits with 2. */
     @Test
-    void runNamesEveryFaultAndExitsWithTwo() throws Exception {
+    void runReportsEveryMistakeAndExitsWithTwo() throws Exception {
         Path file = Files.writeString(
                 folder.resolve("bad.ini"),
                 "[process]\nid = a\nlisten = here\n[entry]\nlisten = 127.0.0.1:0\ncolour = red\n");
--- a/tools/src/test/java/org/copperspindle/cli/DeploymentFilesTest.java
+++ b/tools/src/test/java/org/copperspindle/cli/DeploymentFilesTest.java
@@ -20,7 +20,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * The deployment files that ship with the project are whole and say what they are meant to say.
+ * The deployment files that ship with the project are valid and have the intended settings.
  */
 class DeploymentFilesTest {
 
@@ -52,7 +52,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"wijzerplaat", "aarebogen"})
-    void clientAccountsAreNamedWithDemoKeys(String name) throws Exception {
+    void clientAccountsHaveDemoKeys(String name) throws Exception {
         Deployment deployment = load(name);
 
         assertThat(deployment.name()).isEqualTo(name);
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void classroomGoesBeforeEditorialWork() throws Exception {
+    void classroomHasPriorityOverEditorialWork() throws Exception {
         Deployment deployment = load("aarebogen");
 
         assertThat(deployment.pipeline("lesson").orElseThrow().priority()).isEqualTo(Priority.INTERACTIVE);
--- a/tools/src/test/java/org/copperspindle/cli/EvacuateCommandTest.java
+++ b/tools/src/test/java/org/copperspindle/cli/EvacuateCommandTest.java
@@ -14,7 +14,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * What an operator sees of evacuations, from a node that answers as {@code EvacuationEndpoint} does.
+ * Output and exit codes of the evacuate command, with a node that responds like {@code EvacuationEndpoint}.
  */
 class EvacuateCommandTest {
 
@@ -33,29 +33,29 @@
     }
 
     @Test
-    void listsWhatIsEvacuated() {
+    void listsEvacuatedFailureDomains() {
         assertThat(run()).isEqualTo(ExitCode.SUCCESS);
         assertThat(node.printed()).isEqualToIgnoringNewLines("gent\nleuven\n");
     }
 
     @ParameterizedTest
     @CsvSource({"--begin, PUT, evacuated leuven", "--end, DELETE, used again leuven"})
-    void givesOrders(String option, String method, String shown) {
+    void beginsAndEndsAnEvacuation(String option, String method, String shown) {
         assertThat(run(option, "leuven")).isEqualTo(ExitCode.SUCCESS);
         assertThat(calls).containsExactly(method + " /v1/evacuations/leuven");
         assertThat(node.printed()).contains(shown);
     }
 
-    /** A name that is none, and a node that can't say how the order ended: the operator must tell one from the other. */
+    /** An invalid failure domain is refused; a node that does not know the outcome leaves it unknown. */
     @ParameterizedTest
     @CsvSource({"400, FAILED", "503, UNKNOWN"})
-    void tellsARefusalFromAnUnclearAnswer(int answered, ExitCode code) {
-        status = answered;
+    void distinguishesARefusalFromAnUnknownOutcome(int responseStatus, ExitCode code) {
+        status = responseStatus;
         assertThat(run("--begin", "leuven")).isEqualTo(code);
     }
 
     @Test
-    void nobodyAnswers() {
+    void outcomeIsUnknownIfNoNodeResponds() {
         node.stop();
         assertThat(run("--end", "leuven")).isEqualTo(ExitCode.UNKNOWN);
     }
--- a/tools/src/test/java/org/copperspindle/cli/HeldCommandTest.java
+++ b/tools/src/test/java/org/copperspindle/cli/HeldCommandTest.java
@@ -12,7 +12,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * What an operator sees of requests that are held off, from a node that answers as {@code QuarantinedRequestsEndpoint} does.
+ * Output and exit codes of the held command, with a node that responds like
+ * {@code QuarantinedRequestsEndpoint}.
  */
 class HeldCommandTest {
 
@@ -33,7 +34,7 @@
     }
 
     @Test
-    void listsWhatIsHeldOff() {
+    void listsQuarantinedRequests() {
         assertThat(run()).isEqualTo(ExitCode.SUCCESS);
         assertThat(node.printed())
                 .contains("digest=0f route=r account=t since_s=4 left_s=56 upstreams=[\"u1\",\"u2\"]");
@@ -41,12 +42,12 @@
 
     @ParameterizedTest
     @CsvSource({"0f, SUCCESS", "aa, FAILED"})
-    void liftsOne(String digest, ExitCode code) {
+    void releasesARequest(String digest, ExitCode code) {
         assertThat(run("--lift", digest)).isEqualTo(code);
     }
 
     @Test
-    void nobodyAnswers() {
+    void failsIfNoNodeResponds() {
         node.stop();
         assertThat(run()).isEqualTo(ExitCode.FAILED);
     }
--- a/tools/src/test/java/org/copperspindle/cli/PlacementOverSocketsTest.java
+++ b/tools/src/test/java/org/copperspindle/cli/PlacementOverSocketsTest.java
@@ -28,7 +28,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Control, an agent and an engine over real sockets: a wanted model is loaded by a fenced order.
+ * Model placement over real sockets with a control member, an agent and an engine: a missing model is loaded by
+ * an order with a fencing number.
  */
 class PlacementOverSocketsTest {
 
@@ -75,7 +76,7 @@
         };
         ExitCode applied = Copperspindle.run(apply);
         for (int i = 0; i < 1000 && applied != ExitCode.SUCCESS; i++) {
-            // No leader yet; resending the same change is harmless.
+            // No leader yet; the change id makes the retry idempotent.
             applied = Copperspindle.run(apply);
         }
         assertThat(applied).isEqualTo(ExitCode.SUCCESS);
@@ -89,20 +90,20 @@
     }
 
     /**
-     * A wanted model is missing. Its engine gets one order with a number in header and body, the agent announces the
-     * model, and the trail tells the order and its end. Then the agent restarts and has forgotten the load: it asks for
-     * the current number, and the next order carries a higher one.
+     * A model of the placement is not loaded. The engine receives one order with a fencing number in header and body,
+     * the agent announces the model, and the audit trail records the order and its outcome. The agent then restarts
+     * without its state: it requests the current number, and the next order has a higher one.
      */
     @Test
-    void missingModelIsLoadedByAFencedOrder() throws Exception {
+    void missingModelIsLoadedByAnOrderWithAFencingNumber() throws Exception {
         LoadCall first = loads.poll(60, TimeUnit.SECONDS);
         assertThat(first.body().path("model").asText()).isEqualTo("llm-2");
         assertThat(first.body().path("version").asText()).isEqualTo("7");
         assertThat(first.header())
                 .isPositive()
                 .isEqualTo(first.body().path("fencing_number").asLong());
-        assertThat(audit("order", "ended DONE")).anyMatch(l -> l.contains("placed LOAD_MODEL llm-2@7"));
-        assertThat(audit("membership", "models=llm-1,llm-2@7")).isNotEmpty();
+        assertThat(awaitAudit("order", "ended DONE")).anyMatch(l -> l.contains("placed LOAD_MODEL llm-2@7"));
+        assertThat(awaitAudit("membership", "models=llm-1,llm-2@7")).isNotEmpty();
         assertThat(loads).isEmpty();
 
         agent.stop();
@@ -134,8 +135,8 @@
         return "127.0.0.1:" + control.operatorAddress().orElseThrow().getPort();
     }
 
-    /** Reads the trail until a line shows the words. */
-    private List<String> audit(String kind, String words) {
+    /** Reads the audit trail until a line contains the words. */
+    private List<String> awaitAudit(String kind, String words) {
         List<String> lines = List.of();
         for (int i = 0; i < 2000 && lines.stream().noneMatch(l -> l.contains(words)); i++) {
             PrintStream original = System.out;
--- a/tools/src/test/java/org/copperspindle/cli/RequestTimelineTest.java
+++ b/tools/src/test/java/org/copperspindle/cli/RequestTimelineTest.java
@@ -10,15 +10,15 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class RequestStoryTest {
+class RequestTimelineTest {
 
     /**
-     * A request is admitted at one node; another packs its stage call, and its clock is two seconds behind, or ahead. The
-     * upstream that got the request was suspected before. The story must come in the order in which things happened.
+     * A request is admitted at one node, and another node, whose clock is two seconds behind or ahead, dispatches its
+     * stage call. The upstream of the request was under suspicion before. The lines must come in the actual order.
      */
     @ParameterizedTest
     @ValueSource(longs = {0, -2000, 2000})
-    void linesOfProcessesWhoseClocksDifferComeInOrder(long skew) {
+    void ordersLinesOfProcessesWithDifferentClocks(long skew) {
         List<LogLine> lines = lines(
                 "a ts=10500 level=WARN logger=X event=upstream-suspected upstream=u failures=2",
                 "a ts=11000 level=INFO logger=X event=request-admitted request=r1 route=x",
@@ -28,24 +28,24 @@
                 "a ts=11700 level=INFO logger=X event=request-admitted request=r11 route=x",
                 "c ts=11200 level=INFO logger=X event=upstream-suspected upstream=u failures=9",
                 "java.io.IOException: not a line");
-        assertThat(RequestStory.of("r1", lines).print())
+        assertThat(RequestTimeline.of("r1", lines).print())
                 .extracting(line -> line.replaceAll(".*event=(\\S+).*", "$1"))
                 .containsExactly(
                         "upstream-suspected", "request-admitted", "stage-call", "attempt-sent", "request-ended");
     }
 
     @Test
-    void refusalWithoutALeaseComesWithWhatWasKnownOfTheLeader() {
+    void refusalWithoutALeaseIncludesTheLossOfTheLease() {
         List<LogLine> lines = lines(
                 "  12.0 node-1 ts=5000 level=WARN logger=X event=lease-lost version=4 reason=expired",
                 "  12.1 node-1 ts=5100 level=INFO logger=X event=request-refused request=r status=503 reason=no-lease",
                 "  12.2 node-2 ts=5050 level=WARN logger=X event=lease-lost version=4 reason=expired");
-        assertThat(RequestStory.of("r", lines).print()).hasSize(2).allMatch(line -> line.contains("node-1"));
+        assertThat(RequestTimeline.of("r", lines).print()).hasSize(2).allMatch(line -> line.contains("node-1"));
     }
 
     @Test
-    void unknownRequestHasNoStory() {
-        assertThat(RequestStory.of("r", lines("a ts=1 level=INFO logger=X event=request-ended request=s"))
+    void unknownRequestHasNoLines() {
+        assertThat(RequestTimeline.of("r", lines("a ts=1 level=INFO logger=X event=request-ended request=s"))
                         .isEmpty())
                 .isTrue();
     }
--- a/tools/src/test/java/org/copperspindle/cli/SoakTest.java
+++ b/tools/src/test/java/org/copperspindle/cli/SoakTest.java
@@ -14,22 +14,20 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Short soaks with fixed seeds: real processes, so that moments differ from run to run, but promises must be kept at all of
- * them. Every seed that ever broke a promise stands here, with its cause.
+ * Short soaks with fixed seeds. They run real processes, so the timing differs from run to run, but the promises must
+ * hold at any timing. Every seed that broke a promise is listed here with the cause.
  */
 class SoakTest {
 
-    // The logs of a soak that broke a promise stay, so that it can be traced.
+    // The logs of a failed soak are kept for analysis.
     @TempDir(cleanup = CleanupMode.ON_SUCCESS)
     private Path folder;
 
-    // 101: a stand-in took the port of a node that was down, and answered the operator in its place. Ports of nodes are
-    // now
-    // outside the range that the kernel gives away.
-    // 7001, 7002: all upstreams of a pool ended under one request, and a popular one that was still sent to them on
-    // kept
-    // connections was held off in its place.
-    // 8003: a node that had just started refused the end of an evacuation, of whose failure domain it had not heard.
+    // 101: a stand-in was given the port of a node that was down and answered the operator in its place. Node ports are
+    // now outside the kernel's ephemeral range.
+    // 7001, 7002: one request crashed all upstreams of a pool, and a frequent request that was still sent to them over
+    // kept-alive connections was quarantined in its place.
+    // 8003: a node that had just started refused to end an evacuation, since it did not know the failure domain yet.
     @ParameterizedTest
     @CsvSource({
         "1, false, false, false",
@@ -39,10 +37,10 @@
         "8003, false, true, false",
         "9001, false, false, true"
     })
-    void promisesAreKeptWhileNodesAreDisturbed(long seed, boolean fatal, boolean evacuates, boolean needs)
+    void promisesAreKeptUnderInjectedFaults(long seed, boolean fatal, boolean evacuates, boolean needs)
             throws Exception {
         SoakSettings settings = new SoakSettings(
-                seed, Duration.ofSeconds(8), 4, 6, folder, fatal, evacuates, needs, SoakCommand.launcher());
+                seed, Duration.ofSeconds(8), 4, 6, folder, fatal, evacuates, needs, SoakCommand.nodeCommand());
         SoakReport report = Soak.run(settings, line -> {});
         assertThat(report.broken()).as(report.summary()).isEmpty();
         assertThat(report.served()).isPositive();
--- a/tools/src/test/java/org/copperspindle/cli/StandInNode.java
+++ b/tools/src/test/java/org/copperspindle/cli/StandInNode.java
@@ -14,19 +14,19 @@
 import com.sun.net.httpserver.HttpServer;
 
 /**
- * A node that answers an operator's command as a test says, and what the command printed.
+ * Simulates the operator endpoint of a node with responses that a test defines, and captures the output of commands.
  */
 final class StandInNode implements AutoCloseable {
 
-    private final PrintStream before = System.out;
+    private final PrintStream originalOut = System.out;
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
     private final HttpServer server;
 
     /**
-     * Starts to answer.
+     * Starts the server.
      *
-     * @param path    what it is asked for
-     * @param answers the answer to each request
+     * @param path    path to serve
+     * @param answers returns the response to each request
      */
     StandInNode(String path, Function<HttpExchange, Reply> answers) throws IOException {
         server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
@@ -41,7 +41,7 @@
         System.setOut(new PrintStream(out, true, StandardCharsets.UTF_8));
     }
 
-    /** Runs a command against it. */
+    /** Runs a command against this node. */
     ExitCode run(String command, String... more) {
         List<String> arguments = new ArrayList<>(
                 List.of(command, "--control", "127.0.0.1:" + server.getAddress().getPort()));
@@ -49,24 +49,24 @@
         return Copperspindle.run(arguments.toArray(String[]::new));
     }
 
-    /** Returns what was printed since the start. */
+    /** Returns the standard output since the start. */
     String printed() {
         return out.toString(StandardCharsets.UTF_8);
     }
 
-    /** Answers nothing any more. */
+    /** Stops responding. */
     void stop() {
         server.stop(0);
     }
 
     @Override
     public void close() {
-        System.setOut(before);
+        System.setOut(originalOut);
         stop();
     }
 
     /**
-     * An answer.
+     * An HTTP response.
      *
      * @param status HTTP status
      * @param body   JSON
--- a/tools/src/test/java/org/copperspindle/cli/WholePathTest.java
+++ b/tools/src/test/java/org/copperspindle/cli/WholePathTest.java
@@ -28,7 +28,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * One request from the caller through every stage and back, over real sockets.
+ * Requests from a caller through all stages and back, over real sockets.
  */
 class WholePathTest {
 
@@ -87,7 +87,7 @@
         awaitService(second);
     }
 
-    /** An entry that joined while the file was applied is not one of those that "accepted" speaks of. */
+    /** Waits for an entry: one that joined while the file was applied may not have the configuration yet. */
     private static void awaitReady(CopperspindleProcess entry) {
         long deadline = System.nanoTime() + Duration.ofSeconds(30).toNanos();
         while (!entry.ready() && System.nanoTime() < deadline) {
@@ -97,21 +97,21 @@
     }
 
     /**
-     * Accepted means in force at the members there are; agents may still be joining then, and an entry that knows no
-     * upstream yet truly refuses. Comes back as such a caller does, until a call of each kind gets through.
+     * Retries until a call of each kind succeeds. An accepted configuration is in force at the members that have
+     * joined; agents may still be joining, and an entry that knows no upstream yet refuses with a correct verdict.
      */
     private void awaitService(CopperspindleProcess entry) throws Exception {
         long end = System.nanoTime() + Duration.ofSeconds(20).toNanos();
         for (String path : List.of("pipelines/describe", "services/install")) {
             HttpResponse<String> response = call(entry, path, "{\"input\":\"x\"}", "warm" + System.nanoTime(), false);
             while (response.statusCode() != 200) {
-                // A pipeline whose later pool is still unknown has run its first stages, and says so.
-                String[] truths =
+                // A pipeline whose later pool has no known upstream yet has run its first stages: verdict RAN.
+                String[] correctVerdicts =
                         path.startsWith("services") ? new String[] {"NOT_RUN"} : new String[] {"NOT_RUN", "RAN"};
                 assertThat(response.headers()
                                 .firstValue("Copperspindle-Verdict")
                                 .orElse(""))
-                        .isIn((Object[]) truths);
+                        .isIn((Object[]) correctVerdicts);
                 assertThat(System.nanoTime()).as(response.body()).isLessThan(end);
                 response = call(entry, path, "{\"input\":\"x\"}", "warm" + System.nanoTime(), false);
             }
@@ -127,7 +127,7 @@
     }
 
     @Test
-    void callerGetsItsOwnWholeAnswer() throws Exception {
+    void callerReceivesItsCompleteAnswer() throws Exception {
         HttpResponse<String> response = call(first, "pipelines/describe", "{\"input\":\"face 17\"}", "k1", false);
 
         assertThat(response.statusCode()).as(response.body()).isEqualTo(200);
@@ -136,7 +136,7 @@
     }
 
     @Test
-    void callerGetsItsAnswerInPieces() throws Exception {
+    void callerReceivesAStreamedAnswer() throws Exception {
         HttpResponse<String> response = call(second, "pipelines/describe", "{\"input\":\"face 18\"}", "k2", true);
 
         assertThat(response.statusCode()).as(response.body()).isEqualTo(200);
@@ -144,8 +144,8 @@
     }
 
     /**
-     * The caller loses the answer to an install and resends it through the other entry. The second entry finds the
-     * claim of the first, asks the agent for the kept outcome and passes it on: one execution, two equal answers.
+     * The caller loses the response to an install and resends the request through the other entry. The second entry
+     * finds the claim of the first and returns the outcome stored by the agent: one execution, two equal responses.
      */
     @Test
     void resentInstallRunsOnce() throws Exception {
