--- a/library/src/main/java/org/copperspindle/wire/FieldReader.java
+++ b/library/src/main/java/org/copperspindle/wire/FieldReader.java
@@ -14,14 +14,14 @@
 import org.msgpack.value.ValueType;
 
 /**
- * The numbered fields of one received message. A field of an unexpected type reads as absent.
+ * Reads the numbered fields of one received message. A field of an unexpected type is treated as absent.
  */
 public final class FieldReader {
 
-    /** Above any message that the project declares; a larger count marks a malformed or hostile frame. */
+    /** No message declares as many fields; a larger count means a malformed or hostile frame. */
     private static final int MAX_FIELDS = 256;
 
-    private static final int MAX_LIST = 1 << 16;
+    private static final int MAX_LIST_LENGTH = 1 << 16;
 
     private final Map<Integer, ImmutableValue> values = new HashMap<>();
 
@@ -30,13 +30,13 @@
     /**
      * Reads all fields of a message body.
      *
-     * @param in    positioned at the map of fields
-     * @param bytes length of the whole payload that {@code in} reads
+     * @param in            unpacker positioned at the map of fields
+     * @param payloadLength length in bytes of the whole payload that {@code in} reads
      * @return the fields
-     * @throws IOException        if the bytes end early
-     * @throws MalformedFrameException if the structure is not one that {@link FieldWriter} makes
+     * @throws IOException        if the payload ends early
+     * @throws MalformedFrameException if the payload doesn't have the structure that {@link FieldWriter} writes
      */
-    static FieldReader read(MessageUnpacker in, int bytes) throws IOException, MalformedFrameException {
+    static FieldReader read(MessageUnpacker in, int payloadLength) throws IOException, MalformedFrameException {
         int count = in.unpackMapHeader();
         if (count > MAX_FIELDS) {
             throw new MalformedFrameException("too many fields: " + count);
@@ -44,7 +44,7 @@
         FieldReader reader = new FieldReader();
         for (int i = 0; i < count; i++) {
             int field = in.unpackInt();
-            reader.readValue(field, in, bytes);
+            reader.readValue(field, in, payloadLength);
         }
         return reader;
     }
@@ -124,7 +124,7 @@
     }
 
     /**
-     * Returns a list of texts.
+     * Returns a list of strings.
      *
      * @param field number of the field
      * @return its values, empty if it is absent
@@ -135,18 +135,19 @@
                 .toList();
     }
 
-    private void readValue(int field, MessageUnpacker in, int bytes) throws IOException, MalformedFrameException {
+    private void readValue(int field, MessageUnpacker in, int payloadLength)
+            throws IOException, MalformedFrameException {
         ValueType type = in.getNextFormat().getValueType();
         if (type == ValueType.ARRAY) {
-            readList(field, in, bytes);
+            readList(field, in, payloadLength);
             return;
         }
         if (type == ValueType.BINARY) {
-            values.put(field, readBinary(in, bytes));
+            values.put(field, readBinary(in, payloadLength));
             return;
         }
         if (type == ValueType.STRING) {
-            values.put(field, ValueFactory.newString(readPayload(in, in.unpackRawStringHeader(), bytes), true));
+            values.put(field, ValueFactory.newString(readPayload(in, in.unpackRawStringHeader(), payloadLength), true));
             return;
         }
         if (type == ValueType.MAP || type == ValueType.EXTENSION) {
@@ -156,15 +157,16 @@
         values.put(field, in.unpackValue());
     }
 
-    private void readList(int field, MessageUnpacker in, int bytes) throws IOException, MalformedFrameException {
+    private void readList(int field, MessageUnpacker in, int payloadLength)
+            throws IOException, MalformedFrameException {
         int size = in.unpackArrayHeader();
-        if (size > MAX_LIST) {
+        if (size > MAX_LIST_LENGTH) {
             throw new MalformedFrameException("list too long: " + size);
         }
         List<ImmutableValue> list = new ArrayList<>(Math.min(size, 16));
         for (int i = 0; i < size; i++) {
             if (in.getNextFormat().getValueType() == ValueType.BINARY) {
-                list.add(readBinary(in, bytes));
+                list.add(readBinary(in, payloadLength));
             } else {
                 skip(in);
             }
@@ -172,35 +174,35 @@
         values.put(field, ValueFactory.newArray(list.toArray(new ImmutableValue[0]), true));
     }
 
-    private static ImmutableValue readBinary(MessageUnpacker in, int bytes)
+    private static ImmutableValue readBinary(MessageUnpacker in, int payloadLength)
             throws IOException, MalformedFrameException {
-        return ValueFactory.newBinary(readPayload(in, in.unpackBinaryHeader(), bytes), true);
+        return ValueFactory.newBinary(readPayload(in, in.unpackBinaryHeader(), payloadLength), true);
     }
 
-    private static byte[] readPayload(MessageUnpacker in, int length, int bytes)
+    private static byte[] readPayload(MessageUnpacker in, int length, int payloadLength)
             throws IOException, MalformedFrameException {
-        // The unpacker allocates what a header announces before it looks for the bytes: a frame of ten bytes could ask
-        // for two gigabytes and end the process.
-        if (length > bytes - in.getTotalReadBytes()) {
+        // The unpacker allocates the length given in the header before it reads the bytes, so a frame of ten bytes
+        // could make it allocate 2 GiB and crash the process.
+        if (length > payloadLength - in.getTotalReadBytes()) {
             throw new MalformedFrameException("field longer than its frame: " + length);
         }
         return in.readPayload(length);
     }
 
     /**
-     * Skips a value from a newer version. Counted here rather than by the unpacker, whose count of values overflows on
-     * a map that announces 2^31 of them, so that a damaged frame would pass for a whole one. Ends at the latest where the
-     * bytes end; without recursion, so that depth can't overflow the stack.
+     * Skips a value written by a newer version. Nested values are counted here because the unpacker's own count
+     * overflows on a map header of 2^31 entries, and a damaged frame would be accepted as complete. Stops at the end
+     * of the payload at the latest, and doesn't recurse, so that deep nesting can't overflow the stack.
      */
     private static void skip(MessageUnpacker in) throws IOException {
-        long left = 1;
-        while (left > 0) {
-            left--;
+        long remaining = 1;
+        while (remaining > 0) {
+            remaining--;
             ValueType type = in.getNextFormat().getValueType();
             if (type == ValueType.MAP) {
-                left += 2L * in.unpackMapHeader();
+                remaining += 2L * in.unpackMapHeader();
             } else if (type == ValueType.ARRAY) {
-                left += in.unpackArrayHeader();
+                remaining += in.unpackArrayHeader();
             } else {
                 in.skipValue();
             }
--- a/library/src/main/java/org/copperspindle/wire/FieldWriter.java
+++ b/library/src/main/java/org/copperspindle/wire/FieldWriter.java
@@ -9,8 +9,8 @@
 import org.msgpack.core.MessagePack;
 
 /**
- * Collects the numbered fields of one message. Fields are scalars, strings, byte strings or lists of byte strings;
- * nested messages travel as byte strings, which keeps the reader free of recursion.
+ * Encodes the numbered fields of one message. A field is a scalar, a string, a byte string or a list of byte
+ * strings. Nested messages are written as byte strings, so that the reader needs no recursion.
  */
 public final class FieldWriter {
 
@@ -100,7 +100,7 @@
     }
 
     /**
-     * Adds a list of texts.
+     * Adds a list of strings.
      *
      * @param field  number of the field
      * @param values its values
@@ -113,10 +113,10 @@
     }
 
     /**
-     * Finishes the message.
+     * Completes the message.
      *
-     * @param type number of the kind of message
-     * @return type, number of fields and fields
+     * @param type type number of the message
+     * @return type number, field count and fields
      */
     byte[] finish(int type) {
         try (MessageBufferPacker head = MessagePack.newDefaultBufferPacker()) {
--- a/library/src/main/java/org/copperspindle/wire/GreetingMessage.java
+++ b/library/src/main/java/org/copperspindle/wire/GreetingMessage.java
@@ -1,22 +1,22 @@
 package org.copperspindle.wire;
 
 /**
- * First message in each direction of a connection.
+ * First message that each side of a connection sends: its protocol version and identity.
  *
  * @param protocol    highest protocol version of the sender
  * @param role        {@code entry}, {@code agent} or {@code control}
- * @param processId   identity from the sender's settings
- * @param incarnation number of this life of the process; larger for each restart
+ * @param processId   process id from the sender's settings
+ * @param incarnation incarnation of the process; normally larger after each restart
  */
 public record GreetingMessage(long protocol, String role, String processId, long incarnation) implements WireMessage {
 
     /** Protocol version of this build. A peer below {@link #OLDEST_PROTOCOL} is refused. */
     public static final long PROTOCOL = 2;
 
-    /** First version whose processes send heartbeats. */
+    /** First protocol version with heartbeats. */
     static final long HEARTBEAT_PROTOCOL = 2;
 
-    /** Oldest version that this build still talks to. */
+    /** Oldest protocol version that this build accepts. */
     public static final long OLDEST_PROTOCOL = 1;
 
     /** Codec of this message. */
--- a/library/src/main/java/org/copperspindle/wire/HeartbeatMessage.java
+++ b/library/src/main/java/org/copperspindle/wire/HeartbeatMessage.java
@@ -1,12 +1,12 @@
 package org.copperspindle.wire;
 
 /**
- * Says that the sender's network thread runs. Sent only when nothing else was sent for a while; has no fields, and a
- * peer that does not know it skips it.
+ * Shows that the sender's network thread is running. Sent only after the sender has written nothing else for the
+ * heartbeat interval. Has no fields; a peer that doesn't know the type skips it.
  */
 public record HeartbeatMessage() implements WireMessage {
 
-    /** The only instance that is needed. */
+    /** The shared instance. */
     static final HeartbeatMessage INSTANCE = new HeartbeatMessage();
 
     /** Codec of this message. */
--- a/library/src/main/java/org/copperspindle/wire/MalformedFrameException.java
+++ b/library/src/main/java/org/copperspindle/wire/MalformedFrameException.java
@@ -1,12 +1,13 @@
 package org.copperspindle.wire;
 
 /**
- * A received frame is not one that this protocol can have sent. Its connection is closed; others are not disturbed.
+ * Thrown when a received frame is not a valid message of this protocol. Only the connection that it came from is
+ * closed.
  */
 public final class MalformedFrameException extends Exception {
 
     /**
-     * Describes the fault.
+     * Creates an exception.
      *
      * @param message what is wrong, without the frame's content
      */
@@ -15,10 +16,10 @@
     }
 
     /**
-     * Describes the fault.
+     * Creates an exception.
      *
      * @param message what is wrong, without the frame's content
-     * @param cause   the codec's failure
+     * @param cause   the exception thrown by the codec
      */
     public MalformedFrameException(String message, Throwable cause) {
         super(message, cause);
--- a/library/src/main/java/org/copperspindle/wire/MessageCodec.java
+++ b/library/src/main/java/org/copperspindle/wire/MessageCodec.java
@@ -8,8 +8,8 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * Writes and reads one kind of message. Strict on writing; on reading, a missing field takes its default and an unknown
- * field is skipped, so that versions can differ during a rolling restart.
+ * Encodes and decodes one message type. Every field is written; on reading, a missing field takes its default and an
+ * unknown field is skipped, so that processes of different versions can run together during a rolling restart.
  *
  * @param <T> the message
  */
@@ -31,7 +31,7 @@
     /**
      * Declares the codec of a message.
      *
-     * @param type         number that names it on the wire; never reused
+     * @param type         type number on the wire; never reused for another message
      * @param messageClass its class
      * @param writer       writes its fields
      * @param reader       reads its fields
@@ -60,7 +60,7 @@
      * Encodes a message.
      *
      * @param message the message
-     * @return its type, number of fields and fields
+     * @return type number, field count and fields
      */
     public byte[] encode(T message) {
         FieldWriter out = new FieldWriter();
@@ -69,11 +69,11 @@
     }
 
     /**
-     * Decodes a message that travels inside another or in a log record.
+     * Decodes a message that is nested in another message or stored in a log record.
      *
-     * @param payload what {@link #encode} made
+     * @param payload bytes returned by {@link #encode}
      * @return the message
-     * @throws MalformedFrameException if the bytes are not this message
+     * @throws MalformedFrameException if the bytes are not a message of this type
      */
     public T decode(byte[] payload) throws MalformedFrameException {
         try (MessageUnpacker in = MessagePack.newDefaultUnpacker(payload)) {
@@ -83,17 +83,18 @@
             }
             return reader.apply(FieldReader.read(in, payload.length));
         } catch (IOException | RuntimeException e) {
-            // MessagePack reports hostile bytes as unchecked exceptions, and so do constructors that check fields.
+            // MessagePack throws unchecked exceptions on invalid bytes, and so do constructors that validate fields.
             throw new MalformedFrameException("not a message", e);
         }
     }
 
     /**
-     * Decodes a message that is a part of another one, for the reader of that: what is wrong with the part is wrong with the whole.
+     * Decodes a nested message while the enclosing message is being read. The unchecked exception makes the
+     * enclosing message malformed too.
      *
-     * @param payload what {@link #encode} made
+     * @param payload bytes returned by {@link #encode}
      * @return the message
-     * @throws IllegalArgumentException if the bytes are not this message
+     * @throws IllegalArgumentException if the bytes are not a message of this type
      */
     public T decodePart(byte[] payload) {
         try {
--- a/library/src/main/java/org/copperspindle/wire/MessageRegistry.java
+++ b/library/src/main/java/org/copperspindle/wire/MessageRegistry.java
@@ -9,7 +9,7 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * All messages that a process can write and read. Filled at start, read-only afterwards.
+ * Codecs of all messages that a process can encode and decode. Filled at startup and read-only afterwards.
  */
 public final class MessageRegistry {
 
@@ -17,11 +17,11 @@
     private final Map<Class<?>, MessageCodec<?>> byClass = new HashMap<>();
 
     /**
-     * Adds a kind of message.
+     * Registers the codec of a message type.
      *
      * @param codec its codec
      * @return this registry
-     * @throws IllegalArgumentException if the type number is taken
+     * @throws IllegalArgumentException if the type number is already registered
      */
     public MessageRegistry register(MessageCodec<?> codec) {
         if (byType.putIfAbsent(codec.type(), codec) != null) {
@@ -51,8 +51,8 @@
      * Decodes a frame's payload.
      *
      * @param payload the bytes
-     * @return the message; empty if a newer peer sent a kind unknown here, which the reader skips
-     * @throws MalformedFrameException if the bytes are not a message
+     * @return the message; empty if its type is unknown, as from a newer peer
+     * @throws MalformedFrameException if the bytes are not a valid message
      */
     public Optional<WireMessage> decode(byte[] payload) throws MalformedFrameException {
         try (MessageUnpacker in = MessagePack.newDefaultUnpacker(payload)) {
@@ -63,7 +63,7 @@
             }
             return codec == null ? Optional.empty() : Optional.of(codec.read(fields));
         } catch (IOException | RuntimeException e) {
-            // MessagePack reports hostile bytes as unchecked exceptions, and so do record constructors that check
+            // MessagePack throws unchecked exceptions on invalid bytes, and so do record constructors that validate
             // fields.
             throw new MalformedFrameException("not a message", e);
         }
--- a/library/src/main/java/org/copperspindle/wire/NumericAddress.java
+++ b/library/src/main/java/org/copperspindle/wire/NumericAddress.java
@@ -5,7 +5,8 @@
 import io.netty.util.NetUtil;
 
 /**
- * Text form of socket addresses. Hosts are IP numbers: processes must not depend on a name service.
+ * Formats and parses socket addresses as text. Hosts are numeric IP addresses, because processes must not depend on
+ * name resolution.
  */
 public final class NumericAddress {
 
@@ -24,7 +25,7 @@
     }
 
     /**
-     * Parses what {@link #format} makes.
+     * Parses an address in the form that {@link #format} returns.
      *
      * @param text IP:PORT
      * @return the address
@@ -41,14 +42,15 @@
         }
         String host = text.substring(0, colon);
         if (!NetUtil.isValidIpV4Address(host) && !NetUtil.isValidIpV6Address(host)) {
-            // A name would be looked up, which holds the thread up for seconds where there is no name service.
+            // A host name would be resolved, which blocks the thread for seconds if the name server can't be
+            // reached.
             throw new IllegalArgumentException("not an IP number: " + text);
         }
         return new InetSocketAddress(host, port);
     }
 
     /**
-     * Checks that a text is an address.
+     * Checks that a string is a valid address.
      *
      * @param text IP:PORT
      * @return the same text
--- a/library/src/main/java/org/copperspindle/wire/Peer.java
+++ b/library/src/main/java/org/copperspindle/wire/Peer.java
@@ -1,31 +1,32 @@
 package org.copperspindle.wire;
 
 /**
- * One greeted connection to another process of the system.
+ * A connection to another process of the system, after the greeting.
  */
 public interface Peer {
 
     /**
-     * Returns who is at the other end.
+     * Returns the greeting that the other side sent.
      *
      * @return the other side's greeting
      */
     GreetingMessage greeting();
 
     /**
-     * Sends a message without waiting. Callable from any thread. A message is refused, and no byte of it leaves, if the
-     * connection is closed, if the message exceeds the largest frame, or if the peer has not read what was sent before;
-     * in the last case the connection is closed too. After {@code true} it is not known whether the peer gets it.
+     * Sends a message without blocking. May be called from any thread. The message is refused, and no byte of it is
+     * sent, if the connection is closed, if the message exceeds the largest frame, or if too many bytes are waiting
+     * for the peer to read; in the last case the connection is closed too. {@code true} doesn't mean that the peer
+     * will receive the message.
      *
-     * @param message what to send
-     * @return false if no byte of the message was sent or will be
+     * @param message the message
+     * @return false if no byte of the message was or will be sent
      */
     boolean send(WireMessage message);
 
     /**
-     * Says whether the bytes waiting to be sent are below the high-water mark.
+     * Returns whether the bytes waiting to be sent are below the high-water mark.
      *
-     * @return false if the sender should hold back
+     * @return false if the sender should stop sending for now
      */
     boolean isWritable();
 
--- a/library/src/main/java/org/copperspindle/wire/PeerHandler.java
+++ b/library/src/main/java/org/copperspindle/wire/PeerHandler.java
@@ -20,35 +20,35 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Netty end of one connection: greets, decodes, pauses reading while the listener can't take more, and closes a peer
- * that is silent or does not read.
+ * Netty handler of one peer connection. It exchanges greetings, decodes messages, pauses reading while the listener
+ * refuses events, and closes the connection of a peer that is silent or doesn't read.
  */
 final class PeerHandler extends SimpleChannelInboundHandler<ByteBuf> implements Peer {
 
     private static final Logger LOGGER = LogManager.getLogger(PeerHandler.class);
-    private static final long OFFER_AGAIN_MILLIS = 1;
+    private static final long RETRY_DELAY_MILLIS = 1;
 
     private final MessageRegistry registry;
-    private final GreetingMessage own;
+    private final GreetingMessage ownGreeting;
     private final PeerListener listener;
     private final WireCounters counters;
     private final WireLimits limits;
-    private final Deque<BooleanSupplier> waiting = new ArrayDeque<>();
+    private final Deque<BooleanSupplier> pendingEvents = new ArrayDeque<>();
     private final AtomicLong pendingBytes = new AtomicLong();
     private Phase phase = Phase.GREETING;
     private Future<?> greetingTimeout;
-    private long resumedAt;
+    private long readingResumedNanos;
     private volatile ChannelHandlerContext context;
     private volatile GreetingMessage greeting;
 
     PeerHandler(
             MessageRegistry registry,
-            GreetingMessage own,
+            GreetingMessage ownGreeting,
             PeerListener listener,
             WireCounters counters,
             WireLimits limits) {
         this.registry = registry;
-        this.own = own;
+        this.ownGreeting = ownGreeting;
         this.listener = listener;
         this.counters = counters;
         this.limits = limits;
@@ -67,8 +67,9 @@
         }
         byte[] payload = registry.encode(message);
         if (payload.length > limits.maxFrameBytes()) {
-            // The peer would close the connection over it, and with it everything else under way there.
-            counters.refusedToSend();
+            // The peer would close the connection because of it, and everything else in progress on it would be
+            // lost.
+            counters.recordRefused();
             LOGGER.error(
                     "event=message-too-large type={} bytes={}",
                     message.getClass().getSimpleName(),
@@ -76,13 +77,13 @@
             return false;
         }
         if (pendingBytes.addAndGet(payload.length) > limits.maxPendingBytes()) {
-            // Without this bound a peer that stopped reading would hold the memory of all that is meant for it.
+            // Without this bound, messages for a peer that stopped reading would fill this process's memory.
             pendingBytes.addAndGet(-payload.length);
-            counters.refusedToSend();
-            end(current, "peer-not-reading");
+            counters.recordRefused();
+            closeRefused(current, "peer-not-reading");
             return false;
         }
-        counters.sent(payload.length);
+        counters.recordSent(payload.length);
         current.writeAndFlush(Unpooled.wrappedBuffer(payload))
                 .addListener(done -> pendingBytes.addAndGet(-payload.length));
         return true;
@@ -91,7 +92,7 @@
     @Override
     public boolean isWritable() {
         ChannelHandlerContext current = context;
-        // A closed connection holds nobody back: sending on it says at once that it is closed.
+        // A closed connection must not block senders: a send on it fails at once.
         return current == null
                 || !current.channel().isActive()
                 || current.channel().isWritable();
@@ -108,13 +109,13 @@
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
         context = ctx;
-        // One bound from connect to greeting: an idle timer would be put off by each dripped byte.
+        // One timeout from connect to greeting: an idle timeout would restart with every byte of a slow peer.
         greetingTimeout = ctx.executor()
                 .schedule(
                         () -> refuse(ctx, "greeting-timeout"),
                         limits.greetingTimeout().toNanos(),
                         TimeUnit.NANOSECONDS);
-        send(own);
+        send(ownGreeting);
     }
 
     @Override
@@ -122,8 +123,8 @@
         phase = Phase.ENDED;
         greetingTimeout.cancel(false);
         if (greeting != null) {
-            // The close waits behind messages that the ring refused: an outcome that has arrived must not be taken for
-            // one that was cut off.
+            // The close event is queued behind messages that the listener refused: an outcome that has arrived must
+            // not count as lost.
             deliver(ctx, () -> listener.onClose(this));
         }
     }
@@ -134,8 +135,8 @@
             ctx.fireUserEventTriggered(event);
         } else if (idle.state() == IdleState.WRITER_IDLE) {
             send(HeartbeatMessage.INSTANCE);
-        } else if (peerIsSilent(ctx)) {
-            counters.silentPeer();
+        } else if (isPeerSilent(ctx)) {
+            counters.recordSilentPeer();
             refuse(ctx, "peer-silent");
         }
     }
@@ -143,10 +144,10 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (cause instanceof TooLongFrameException) {
-            counters.oversized();
+            counters.recordOversized();
             refuse(ctx, "frame-too-large");
         } else if (cause instanceof DecoderException) {
-            counters.malformed();
+            counters.recordMalformed();
             refuse(ctx, "malformed-frame");
         } else {
             LOGGER.debug(
@@ -160,24 +161,24 @@
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
         if (phase == Phase.ENDED) {
-            // Frames that came in one read with a refused one: the peer is no longer trusted.
+            // Frames that arrived in the same read as an invalid one are dropped: the peer is no longer trusted.
             return;
         }
         byte[] payload = new byte[frame.readableBytes()];
         frame.readBytes(payload);
-        counters.received(payload.length);
+        counters.recordReceived(payload.length);
         try {
-            registry.decode(payload).ifPresent(message -> accept(ctx, message));
+            registry.decode(payload).ifPresent(message -> onWireMessage(ctx, message));
         } catch (MalformedFrameException e) {
-            counters.malformed();
+            counters.recordMalformed();
             LOGGER.debug("event=malformed-frame-cause reason=\"{}\"", e.getMessage());
             refuse(ctx, "malformed-frame");
         }
     }
 
-    private void accept(ChannelHandlerContext ctx, WireMessage message) {
+    private void onWireMessage(ChannelHandlerContext ctx, WireMessage message) {
         if (message instanceof GreetingMessage received) {
-            greet(ctx, received);
+            onGreeting(ctx, received);
         } else if (phase == Phase.GREETING) {
             refuse(ctx, "not-greeted");
         } else if (!(message instanceof HeartbeatMessage)) {
@@ -185,7 +186,7 @@
         }
     }
 
-    private void greet(ChannelHandlerContext ctx, GreetingMessage received) {
+    private void onGreeting(ChannelHandlerContext ctx, GreetingMessage received) {
         if (phase != Phase.GREETING || received.protocol() < GreetingMessage.OLDEST_PROTOCOL) {
             refuse(ctx, "greeting-refused");
             return;
@@ -194,7 +195,7 @@
         greetingTimeout.cancel(false);
         greeting = received;
         long heartbeat = limits.heartbeat().toNanos();
-        // A peer of a version without heartbeats is silent by right.
+        // A peer whose version has no heartbeats may be silent for any time.
         long silence = received.protocol() >= GreetingMessage.HEARTBEAT_PROTOCOL
                 ? limits.silence().toNanos()
                 : 0;
@@ -202,21 +203,22 @@
         deliver(ctx, () -> listener.onOpen(this));
     }
 
-    private boolean peerIsSilent(ChannelHandlerContext ctx) {
-        // While reading is paused the silence is this side's own doing, and just after it the bytes are still unread.
+    private boolean isPeerSilent(ChannelHandlerContext ctx) {
+        // Nothing is read while this side has paused reading, and just afterwards the peer's bytes may still be
+        // unread.
         return ctx.channel().config().isAutoRead()
-                && System.nanoTime() - resumedAt >= limits.silence().toNanos();
+                && System.nanoTime() - readingResumedNanos >= limits.silence().toNanos();
     }
 
     private void refuse(ChannelHandlerContext ctx, String reason) {
         if (phase != Phase.ENDED) {
             phase = Phase.ENDED;
-            end(ctx, reason);
+            closeRefused(ctx, reason);
         }
     }
 
-    private void end(ChannelHandlerContext ctx, String reason) {
-        counters.closed();
+    private void closeRefused(ChannelHandlerContext ctx, String reason) {
+        counters.recordClosed();
         GreetingMessage peer = greeting;
         LOGGER.warn(
                 "event=connection-refused reason={} remote={} peer={}",
@@ -227,44 +229,44 @@
     }
 
     private void deliver(ChannelHandlerContext ctx, BooleanSupplier event) {
-        if (waiting.isEmpty() && event.getAsBoolean()) {
+        if (pendingEvents.isEmpty() && event.getAsBoolean()) {
             return;
         }
-        // An event that the ring refused must stay in front of later ones.
-        waiting.add(event);
-        if (waiting.size() == 1) {
-            counters.paused();
+        // An event that the listener refused must be delivered before later ones.
+        pendingEvents.add(event);
+        if (pendingEvents.size() == 1) {
+            counters.recordPause();
             ctx.channel().config().setAutoRead(false);
-            offerLater(ctx);
+            scheduleRetry(ctx);
         }
     }
 
-    private void offerLater(ChannelHandlerContext ctx) {
+    private void scheduleRetry(ChannelHandlerContext ctx) {
         if (ctx.executor().isShuttingDown()) {
             return;
         }
-        ctx.executor().schedule(() -> offerWaiting(ctx), OFFER_AGAIN_MILLIS, TimeUnit.MILLISECONDS);
+        ctx.executor().schedule(() -> deliverPending(ctx), RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private void offerWaiting(ChannelHandlerContext ctx) {
-        while (!waiting.isEmpty()) {
-            if (!waiting.peek().getAsBoolean()) {
-                offerLater(ctx);
+    private void deliverPending(ChannelHandlerContext ctx) {
+        while (!pendingEvents.isEmpty()) {
+            if (!pendingEvents.peek().getAsBoolean()) {
+                scheduleRetry(ctx);
                 return;
             }
-            waiting.poll();
+            pendingEvents.poll();
         }
-        resumedAt = System.nanoTime();
+        readingResumedNanos = System.nanoTime();
         ctx.channel().config().setAutoRead(true);
     }
 
-    /** What the peer may do next; used on the connection's network thread only. */
+    /** State of the connection; accessed only on its network thread. */
     private enum Phase {
-        /** Nothing but a greeting is taken. */
+        /** Only a greeting is accepted. */
         GREETING,
-        /** Messages are taken. */
+        /** Messages are accepted. */
         OPEN,
-        /** Refused or closed: nothing is taken any more. */
+        /** Refused or closed: nothing is accepted any more. */
         ENDED
     }
 }
--- a/library/src/main/java/org/copperspindle/wire/PeerListener.java
+++ b/library/src/main/java/org/copperspindle/wire/PeerListener.java
@@ -1,34 +1,34 @@
 package org.copperspindle.wire;
 
 /**
- * Receives the events of connections. Called on network threads: implementations hand over to their decision ring and
- * never wait. An event that is refused is offered again, and later events of the same connection wait behind it, so
- * that a listener sees open, messages and close in this order and each exactly once.
+ * Receives the events of peer connections. Called on network threads: implementations pass the event to their
+ * decision ring and never block. A refused event is offered again, and later events of the same connection are
+ * queued behind it, so that a listener receives open, messages and close in this order and each exactly once.
  */
 public interface PeerListener {
 
     /**
-     * A connection was greeted in both directions.
+     * Called when both sides of a connection have sent their greeting.
      *
      * @param peer the connection
-     * @return false if the event can't be taken now and must be offered again
+     * @return false if the event can't be accepted now and must be offered again
      */
     boolean onOpen(Peer peer);
 
     /**
-     * A message arrived.
+     * Called for each received message.
      *
      * @param peer    its connection
      * @param message the message
-     * @return false if it can't be taken now; reading pauses and the message is offered again
+     * @return false if the message can't be accepted now; reading pauses and the message is offered again
      */
     boolean onMessage(Peer peer, WireMessage message);
 
     /**
-     * A greeted connection ended.
+     * Called when a connection that was opened has closed.
      *
      * @param peer the connection
-     * @return false if the event can't be taken now and must be offered again
+     * @return false if the event can't be accepted now and must be offered again
      */
     boolean onClose(Peer peer);
 }
--- a/library/src/main/java/org/copperspindle/wire/WireCounters.java
+++ b/library/src/main/java/org/copperspindle/wire/WireCounters.java
@@ -3,11 +3,12 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * Counts what a process sends and receives on its own protocol; read by metrics and by the capacity measurements.
+ * Traffic counters of the protocol between the system's own processes; read by the metrics and by the capacity
+ * measurements.
  */
 public final class WireCounters {
 
-    private static final int LENGTH_BYTES = 4;
+    private static final int LENGTH_PREFIX_BYTES = 4;
 
     private final LongAdder messagesSent = new LongAdder();
     private final LongAdder bytesSent = new LongAdder();
@@ -20,42 +21,42 @@
     private final LongAdder messagesRefused = new LongAdder();
     private final LongAdder pauses = new LongAdder();
 
-    void sent(int payload) {
+    void recordSent(int payloadLength) {
         messagesSent.increment();
-        bytesSent.add(payload + LENGTH_BYTES);
+        bytesSent.add(payloadLength + LENGTH_PREFIX_BYTES);
     }
 
-    void received(int payload) {
+    void recordReceived(int payloadLength) {
         messagesReceived.increment();
-        bytesReceived.add(payload + LENGTH_BYTES);
+        bytesReceived.add(payloadLength + LENGTH_PREFIX_BYTES);
     }
 
-    void malformed() {
+    void recordMalformed() {
         malformedFrames.increment();
     }
 
-    void oversized() {
+    void recordOversized() {
         oversizedFrames.increment();
     }
 
-    void closed() {
+    void recordClosed() {
         closedConnections.increment();
     }
 
-    void silentPeer() {
+    void recordSilentPeer() {
         silentPeers.increment();
     }
 
-    void refusedToSend() {
+    void recordRefused() {
         messagesRefused.increment();
     }
 
-    void paused() {
+    void recordPause() {
         pauses.increment();
     }
 
     /**
-     * Returns messages sent.
+     * Returns the number of messages sent.
      *
      * @return a count
      */
@@ -64,7 +65,7 @@
     }
 
     /**
-     * Returns bytes sent, length prefixes included, TCP and IP headers not.
+     * Returns the number of bytes sent, with length prefixes but without TCP and IP headers.
      *
      * @return bytes
      */
@@ -73,7 +74,7 @@
     }
 
     /**
-     * Returns messages received.
+     * Returns the number of messages received.
      *
      * @return a count
      */
@@ -82,7 +83,7 @@
     }
 
     /**
-     * Returns bytes received, length prefixes included.
+     * Returns the number of bytes received, with length prefixes.
      *
      * @return bytes
      */
@@ -91,7 +92,7 @@
     }
 
     /**
-     * Returns frames that were no message and closed their connection.
+     * Returns the number of frames that could not be decoded; each closed its connection.
      *
      * @return a count
      */
@@ -100,7 +101,7 @@
     }
 
     /**
-     * Returns frames over the size limit, each of which closed its connection.
+     * Returns the number of frames over the size limit; each closed its connection.
      *
      * @return a count
      */
@@ -109,7 +110,7 @@
     }
 
     /**
-     * Returns connections that this side closed over the peer's conduct, whatever the reason.
+     * Returns the number of connections that this side closed because of a fault of the peer, whatever the reason.
      *
      * @return a count
      */
@@ -118,7 +119,7 @@
     }
 
     /**
-     * Returns connections closed because the peer sent nothing, not even heartbeats.
+     * Returns the number of connections closed because the peer sent nothing, not even heartbeats.
      *
      * @return a count
      */
@@ -127,7 +128,7 @@
     }
 
     /**
-     * Returns messages not sent because they were too large or the peer did not read.
+     * Returns the number of messages not sent because they were too large or the peer did not read.
      *
      * @return a count
      */
@@ -136,7 +137,7 @@
     }
 
     /**
-     * Returns times that reading from a connection paused because the decision ring was full.
+     * Returns how often reading from a connection was paused because the decision ring was full.
      *
      * @return a count
      */
--- a/library/src/main/java/org/copperspindle/wire/WireTransport.java
+++ b/library/src/main/java/org/copperspindle/wire/WireTransport.java
@@ -25,36 +25,37 @@
 import io.netty.util.concurrent.GlobalEventExecutor;
 
 /**
- * Length-framed TCP between the system's own processes: a four-byte length, then one MessagePack message.
+ * TCP transport between the system's own processes. Each frame is a four-byte length followed by one MessagePack
+ * message.
  */
 public final class WireTransport implements AutoCloseable {
 
-    /** Largest payload; bounds what one peer can make another hold. */
+    /** Largest payload; bounds the memory that one peer can make another allocate. */
     public static final int MAX_FRAME_BYTES = 8 << 20;
 
-    private static final int LENGTH_BYTES = 4;
+    private static final int LENGTH_PREFIX_BYTES = 4;
     private static final int CONNECT_TIMEOUT_MILLIS = 1000;
-    private static final int FLUSH_AFTER = 64;
-    private static final long CLOSE_BOUND_MILLIS = 1000;
+    private static final int MAX_WRITES_BEFORE_FLUSH = 64;
+    private static final long CLOSE_TIMEOUT_MILLIS = 1000;
 
     private final EventLoopGroup group;
     private final MessageRegistry registry;
-    private final GreetingMessage own;
+    private final GreetingMessage ownGreeting;
     private final boolean ownsGroup;
     private final WireLimits limits;
     private final WireCounters counters = new WireCounters();
-    // Closes what is accepted or connected while it is being closed, too.
+    // Also closes channels that are added while the group is being closed.
     private final ChannelGroup channels = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE, true);
 
     /**
      * Creates a transport with its own network threads.
      *
      * @param threads  number of network threads
-     * @param registry messages that this process knows; the greeting is added by {@link #registry()}
-     * @param own      this process's greeting
+     * @param registry messages that this process knows, based on {@link #registry()}
+     * @param ownGreeting      this process's greeting
      */
-    public WireTransport(int threads, MessageRegistry registry, GreetingMessage own) {
-        this(threads, registry, own, WireLimits.DEFAULT);
+    public WireTransport(int threads, MessageRegistry registry, GreetingMessage ownGreeting) {
+        this(threads, registry, ownGreeting, WireLimits.DEFAULT);
     }
 
     /**
@@ -62,53 +63,59 @@
      *
      * @param threads  number of network threads
      * @param registry messages that this process knows
-     * @param own      this process's greeting
+     * @param ownGreeting      this process's greeting
      * @param limits   bounds on connections
      */
-    public WireTransport(int threads, MessageRegistry registry, GreetingMessage own, WireLimits limits) {
-        this(newGroup(threads, own), registry, own, true, limits);
+    public WireTransport(int threads, MessageRegistry registry, GreetingMessage ownGreeting, WireLimits limits) {
+        this(newGroup(threads, ownGreeting), registry, ownGreeting, true, limits);
     }
 
     /**
-     * Creates a transport on the network threads of the process, which stay open when it is closed.
+     * Creates a transport on the network threads of the process, which keep running when it is closed.
      *
      * @param group    network threads
      * @param registry messages that this process knows
-     * @param own      this process's greeting
+     * @param ownGreeting      this process's greeting
      * @param limits   bounds on connections
      */
-    public WireTransport(EventLoopGroup group, MessageRegistry registry, GreetingMessage own, WireLimits limits) {
-        this(group, registry, own, false, limits);
+    public WireTransport(
+            EventLoopGroup group, MessageRegistry registry, GreetingMessage ownGreeting, WireLimits limits) {
+        this(group, registry, ownGreeting, false, limits);
     }
 
     private WireTransport(
-            EventLoopGroup group, MessageRegistry registry, GreetingMessage own, boolean ownsGroup, WireLimits limits) {
+            EventLoopGroup group,
+            MessageRegistry registry,
+            GreetingMessage ownGreeting,
+            boolean ownsGroup,
+            WireLimits limits) {
         this.group = group;
         this.registry = registry;
-        this.own = own;
+        this.ownGreeting = ownGreeting;
         this.ownsGroup = ownsGroup;
         this.limits = limits;
     }
 
-    private static EventLoopGroup newGroup(int threads, GreetingMessage own) {
-        // Named by process, so that processor time can be told apart where several processes share a JVM.
-        DefaultThreadFactory factory = new DefaultThreadFactory("wire-" + own.processId(), true);
+    private static EventLoopGroup newGroup(int threads, GreetingMessage ownGreeting) {
+        // The thread name holds the process id, so that CPU time can be attributed where several processes share a
+        // JVM.
+        DefaultThreadFactory factory = new DefaultThreadFactory("wire-" + ownGreeting.processId(), true);
         return new MultiThreadIoEventLoopGroup(threads, factory, NioIoHandler.newFactory());
     }
 
     /**
-     * Makes a transport of another identity on this one's network threads; closing it closes its own connections and
-     * leaves the threads running. For measurements with many stand-in members in one process.
+     * Creates a transport with another identity on the network threads of this one; closing it closes its own
+     * connections and leaves the threads running. For measurements that simulate many members in one process.
      *
      * @param other greeting of the other identity
-     * @return a transport with counters of its own
+     * @return a transport with its own counters
      */
     public WireTransport withGreeting(GreetingMessage other) {
         return new WireTransport(group, registry, other, false, limits);
     }
 
     /**
-     * Makes a registry that already knows the greeting and the heartbeat.
+     * Creates a registry that contains the greeting and the heartbeat.
      *
      * @return a new registry
      */
@@ -117,9 +124,9 @@
     }
 
     /**
-     * Listens for connections.
+     * Binds a server socket and accepts connections.
      *
-     * @param address  address to bind; port 0 takes a free one
+     * @param address  address to bind; port 0 picks a free port
      * @param listener receives the events
      * @return the bound channel
      */
@@ -135,11 +142,11 @@
     }
 
     /**
-     * Connects to a peer. The listener hears of the connection once it is greeted.
+     * Connects to a peer. The listener is notified once the greetings have been exchanged.
      *
-     * @param address  where to
+     * @param address  address of the peer
      * @param listener receives the events
-     * @return completes on a network thread when the TCP connection stands, or fails
+     * @return completes on a network thread when the TCP connection is established or has failed
      */
     public CompletableFuture<Channel> connect(InetSocketAddress address, PeerListener listener) {
         Bootstrap bootstrap = new Bootstrap()
@@ -177,13 +184,16 @@
         return counters;
     }
 
-    /** Closes the listening, accepted and connected sockets, then the network threads if they are this transport's. */
+    /**
+     * Closes the listening, accepted and connected sockets, then shuts down the network threads if this transport
+     * owns them.
+     */
     @Override
     public void close() {
-        // An event loop that is told to end while it runs a task ends without closing its channels: the port stays
-        // taken and peers wait on a connection that nobody reads. Closing is a task too, which the loop runs before it
-        // ends, even if it comes to it only after this bound.
-        channels.close().awaitUninterruptibly(CLOSE_BOUND_MILLIS);
+        // An event loop that is shut down while it runs a task ends without closing its channels: the port stays
+        // bound and peers wait on a connection that nobody reads. Closing the channels is a task as well, which the
+        // loop runs before it ends, even if that is after this timeout.
+        channels.close().awaitUninterruptibly(CLOSE_TIMEOUT_MILLIS);
         if (ownsGroup) {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
         }
@@ -201,11 +211,12 @@
         protected void initChannel(SocketChannel channel) {
             channels.add(channel);
             channel.pipeline()
-                    // Messages that the ring sends in one go leave in one system call.
-                    .addLast(new FlushConsolidationHandler(FLUSH_AFTER, true))
-                    .addLast(new LengthFieldBasedFrameDecoder(limits.maxFrameBytes(), 0, LENGTH_BYTES, 0, LENGTH_BYTES))
-                    .addLast(new LengthFieldPrepender(LENGTH_BYTES))
-                    .addLast(new PeerHandler(registry, own, listener, counters, limits));
+                    // Messages that the decision ring sends together are written with one system call.
+                    .addLast(new FlushConsolidationHandler(MAX_WRITES_BEFORE_FLUSH, true))
+                    .addLast(new LengthFieldBasedFrameDecoder(
+                            limits.maxFrameBytes(), 0, LENGTH_PREFIX_BYTES, 0, LENGTH_PREFIX_BYTES))
+                    .addLast(new LengthFieldPrepender(LENGTH_PREFIX_BYTES))
+                    .addLast(new PeerHandler(registry, ownGreeting, listener, counters, limits));
         }
     }
 }
--- a/library/src/main/java/org/copperspindle/wire/package-info.java
+++ b/library/src/main/java/org/copperspindle/wire/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Length-framed TCP with MessagePack between the system's own processes.
+ * Length-prefixed MessagePack frames over TCP between the system's own processes.
  */
 package org.copperspindle.wire;
--- a/library/src/test/java/org/copperspindle/wire/NumberMessage.java
+++ b/library/src/test/java/org/copperspindle/wire/NumberMessage.java
@@ -1,9 +1,9 @@
 package org.copperspindle.wire;
 
 /**
- * A message for tests.
+ * A test message with a number and padding of any size.
  *
- * @param number  which one
+ * @param number  number that identifies the message
  * @param padding any bytes
  */
 record NumberMessage(long number, byte[] padding) implements WireMessage {
--- a/library/src/test/java/org/copperspindle/wire/RecordingListener.java
+++ b/library/src/test/java/org/copperspindle/wire/RecordingListener.java
@@ -4,13 +4,13 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * Writes down the events of one side, and refuses them while told to, as a full ring does.
+ * Records the events of one side. Can refuse events, as a full decision ring does.
  */
 final class RecordingListener implements PeerListener {
 
     final List<String> events = new CopyOnWriteArrayList<>();
-    /** One in so many offers is taken. */
-    volatile int takeOneIn = 1;
+    /** One in this many offers is accepted. */
+    volatile int acceptOneIn = 1;
 
     volatile int refusals;
     volatile Peer peer;
@@ -19,22 +19,22 @@
     @Override
     public boolean onOpen(Peer opened) {
         peer = opened;
-        return take("open");
+        return accept("open");
     }
 
     @Override
     public boolean onMessage(Peer from, WireMessage message) {
-        return take(String.valueOf(((NumberMessage) message).number()));
+        return accept(String.valueOf(((NumberMessage) message).number()));
     }
 
     @Override
     public boolean onClose(Peer closed) {
-        return take("close");
+        return accept("close");
     }
 
-    private boolean take(String event) {
+    private boolean accept(String event) {
         offers++;
-        if (offers % takeOneIn != 0) {
+        if (offers % acceptOneIn != 0) {
             refusals++;
             return false;
         }
--- a/library/src/test/java/org/copperspindle/wire/WireTransportTest.java
+++ b/library/src/test/java/org/copperspindle/wire/WireTransportTest.java
@@ -47,19 +47,19 @@
     }
 
     /**
-     * The ring refuses everything at first, then two of three offers. Open, 200 messages and the close arrive meanwhile,
-     * the close while messages wait. The listener sees each event once, in the order sent: a close that overtook an
-     * outcome would turn finished work into work of unknown fate.
+     * The listener refuses all events at first, then two of three, while open, 200 messages and the close arrive. It
+     * must receive each event once and in order: if the close overtook an outcome, finished work would count as work
+     * that may have run.
      */
     @Test
     void fullRingKeepsOrderAndClose() throws Exception {
         listen(new WireLimits(MAX_FRAME, MAX_PENDING, LONG, LONG, LONG));
-        server.takeOneIn = Integer.MAX_VALUE;
+        server.acceptOneIn = Integer.MAX_VALUE;
         connect();
         await(() -> client.peer != null);
         LongStream.range(0, 100).forEach(i -> client.peer.send(new NumberMessage(i)));
         await(() -> server.refusals > 1);
-        server.takeOneIn = 3;
+        server.acceptOneIn = 3;
         LongStream.range(100, 200).forEach(i -> client.peer.send(new NumberMessage(i)));
         client.peer.close();
 
@@ -72,8 +72,8 @@
     }
 
     /**
-     * A peer stops reading while more is sent to it than the bound allows. The sender hears of the first message that
-     * is over the bound that it was not sent, and the connection ends, instead of memory growing with each message.
+     * A peer stops reading while more bytes are sent to it than may be pending. The first send over the limit must
+     * return false and the connection must close; otherwise memory would grow with each message.
      */
     @Test
     void peerThatDoesNotReadIsClosed() throws Exception {
@@ -84,7 +84,7 @@
             socket.getOutputStream().write(frame(GreetingMessage.CODEC.encode(GREETING)));
             await(() -> server.events.contains("open"));
             int sent = 0;
-            // Far more than the socket buffers of both sides take.
+            // Far more than the socket buffers of both sides hold.
             while (sent < 100_000 && server.peer.send(new NumberMessage(sent, new byte[1024]))) {
                 sent++;
             }
@@ -95,7 +95,10 @@
         assertThat(listening.counters().messagesRefused()).isEqualTo(1);
     }
 
-    /** A message larger than a frame would make the peer close the connection: it is refused, and the others arrive. */
+    /**
+     * A message larger than the frame limit would make the peer close the connection. It is refused, and other
+     * messages arrive.
+     */
     @Test
     void messageTooLargeIsNotSent() throws Exception {
         listen(new WireLimits(MAX_FRAME, MAX_PENDING, LONG, LONG, LONG));
@@ -110,11 +113,12 @@
     }
 
     /**
-     * A peer greets and is cut off in silence, as by a partition: no reset ever comes. Its connection ends by itself,
-     * so that what waits for it can be judged. A peer of the older version sends no heartbeats and is kept.
+     * A peer sends its greeting and then nothing, as in a network partition without a TCP reset. Its connection must
+     * be closed, so that work waiting for it is decided. A peer of the older version sends no heartbeats and stays
+     * connected.
      */
     @Test
-    void silentPeerIsTakenForDeadUnlessItsVersionIsSilent() throws Exception {
+    void silentPeerIsClosedUnlessItsVersionHasNoHeartbeats() throws Exception {
         listen(new WireLimits(MAX_FRAME, MAX_PENDING, LONG, HEARTBEAT, SHORT));
         try (Socket old = new Socket(address.getAddress(), address.getPort());
                 Socket silent = new Socket(address.getAddress(), address.getPort())) {
@@ -123,13 +127,13 @@
 
             await(() -> listening.counters().silentPeers() == 1);
             readToEnd(silent);
-            // Heartbeats keep coming for several times the silence after which the other was closed.
+            // Heartbeats keep arriving for several times the silence after which the other connection was closed.
             old.getInputStream().readNBytes(30 * HeartbeatMessage.CODEC.encode(HeartbeatMessage.INSTANCE).length);
         }
         assertThat(listening.counters().silentPeers()).isEqualTo(1);
     }
 
-    /** Two idle processes keep their connection by heartbeats alone, over many times the silence that ends it. */
+    /** Heartbeats alone keep the connection of two idle processes open. */
     @Test
     void heartbeatsKeepAnIdleConnection() throws Exception {
         listen(new WireLimits(MAX_FRAME, MAX_PENDING, LONG, HEARTBEAT, LONG));
@@ -139,9 +143,12 @@
         assertThat(server.events).containsExactly("open");
     }
 
-    /** A peer drips bytes of a greeting, one at a time: the bound is on the whole greeting, not on its silences. */
+    /**
+     * A peer sends its greeting one byte at a time: the timeout covers the whole greeting, not the gaps between
+     * bytes.
+     */
     @Test
-    void slowGreetingIsCutOff() throws Exception {
+    void slowGreetingIsClosed() throws Exception {
         listen(new WireLimits(1 << 30, MAX_PENDING, SHORT, LONG, LONG));
         try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
             socket.getOutputStream().write(bytes(0x3f, 0, 0, 0));
@@ -178,10 +185,10 @@
                 Arguments.of("map of 2^31", join(greeting, frame(field(0xdf, 0x7f, 0xff, 0xff, 0xff))), malformed),
                 Arguments.of("extension of 2 GiB", join(greeting, frame(field(0xc9, 0x7f, -1, -1, -1, 1))), malformed),
                 Arguments.of("2^31 fields", join(greeting, frame(bytes(100, 0xdf, 0x7f, -1, -1, -1))), malformed),
-                Arguments.of("lists 4000 deep", join(greeting, frame(field(deep(4000)))), malformed));
+                Arguments.of("lists 4000 deep", join(greeting, frame(field(nestedLists(4000)))), malformed));
     }
 
-    /** Each kind of bad bytes closes the connection that sent them, is counted, and leaves another one working. */
+    /** Invalid bytes close the connection that sent them and are counted, and another connection keeps working. */
     @ParameterizedTest(name = "{0}")
     @MethodSource("hostileBytes")
     void hostileBytesCloseOnlyTheirConnection(String name, byte[] bytes, ToLongFunction<WireCounters> counter)
@@ -190,7 +197,7 @@
         connect();
         await(() -> client.peer != null);
         try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
-            // A good message in the same read, after the bad one, must not be taken from a peer that is refused.
+            // A valid message after the invalid one, in the same read, must not be accepted from a refused peer.
             socket.getOutputStream().write(join(bytes, frame(NumberMessage.CODEC.encode(new NumberMessage(77)))));
             readToEnd(socket);
         }
@@ -200,7 +207,10 @@
         assertThat(server.events).doesNotContain("77");
     }
 
-    /** 20,000 damaged or random payloads (seed 7) decode to a message, to nothing, or to a malformed frame. */
+    /**
+     * Each of 20,000 damaged or random payloads (seed 7) decodes to a message or to nothing, or is reported as a
+     * malformed frame.
+     */
     @Test
     void damagedPayloadsNeverEscapeTheDecoder() {
         MessageRegistry registry = WireTransport.registry().register(NumberMessage.CODEC);
@@ -222,9 +232,12 @@
         assertThat(refused).isBetween(1, 19_999);
     }
 
-    /** 300 connections send random bytes (seed 11) while a good one goes on: its messages all arrive, in order. */
+    /**
+     * 300 connections send random bytes (seed 11) while a valid one sends messages, all of which must arrive in
+     * order.
+     */
     @Test
-    void randomBytesDisturbNobody() throws Exception {
+    void randomBytesDoNotAffectOtherConnections() throws Exception {
         listen(new WireLimits(MAX_FRAME, MAX_PENDING, LONG, LONG, LONG));
         connect();
         await(() -> client.peer != null);
@@ -243,7 +256,7 @@
             client.peer.send(new NumberMessage(i));
             expected.add(String.valueOf(i));
         }
-        // Some damaged greetings are still greetings; their open and close are not the good connection's.
+        // Some damaged greetings are still valid; their open and close events don't belong to the valid connection.
         await(() -> server.events.contains("299"));
         assertThat(server.events.stream().filter(e -> !e.equals("open") && !e.equals("close")))
                 .containsSubsequence(expected.subList(1, expected.size()));
@@ -251,9 +264,10 @@
     }
 
     /**
-     * A process in a shared JVM closes its transport while its network thread is busy. The peer must see the end and
-     * the port must be free: the event loop used to end without closing its sockets, so that a successor at the same
-     * address could not bind, and the peer waited on a connection that nobody read.
+     * A process closes its transport in a shared JVM while its network thread is busy. The peer must see the close
+     * and the port must be free. An event loop that shut down without closing its sockets kept the port bound, so
+     * that a successor at the same address could not bind, and left the peer waiting on a connection that nobody
+     * read.
      */
     @Test
     void closeDuringABusyLoopLeavesNoSocketOpen() throws Exception {
@@ -323,7 +337,7 @@
         return join(bytes(100, 0x81, 2), bytes(value));
     }
 
-    private static int[] deep(int levels) {
+    private static int[] nestedLists(int levels) {
         int[] lists = new int[levels];
         java.util.Arrays.fill(lists, 0x91);
         return lists;
