--- a/library/src/main/java/org/copperspindle/daemon/AgentRole.java
+++ b/library/src/main/java/org/copperspindle/daemon/AgentRole.java
@@ -14,7 +14,7 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * The agent role: stands beside one upstream.
+ * The agent role: runs next to one upstream and passes attempts to it.
  */
 final class AgentRole implements ProcessRole {
 
--- a/library/src/main/java/org/copperspindle/daemon/ControlRole.java
+++ b/library/src/main/java/org/copperspindle/daemon/ControlRole.java
@@ -36,7 +36,7 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * The control role: a member of the replicated log.
+ * The control role: a member of the replicated log, with an HTTP endpoint for operators.
  */
 final class ControlRole implements ProcessRole {
 
@@ -47,12 +47,12 @@
             FenceQueryMessage.class,
             OrderReportMessage.class);
     private static final int UNAVAILABLE = 503;
-    /** Whole files that wait for their check; each may be as long as the longest text. */
-    private static final int WAITING_CHECKS = 8;
+    /** Deployment files that may wait to be checked; each may be up to {@link ConfigText#MAX_BYTES} long. */
+    private static final int MAX_QUEUED_CHECKS = 8;
 
     private static final String LOG_FOLDER = "log";
     private static final String AUDIT_FOLDER = "audit";
-    /** Operators send whole deployment files, and few of them. */
+    /** Operators send complete deployment files, so bodies may be large; connections are few. */
     private static final HttpLimits OPERATOR_LIMITS =
             new HttpLimits(8192, 16384, ConfigText.MAX_BYTES, 100, Duration.ofSeconds(10));
 
@@ -60,13 +60,13 @@
     private final ConsensusLog log;
     private final ControlService service;
     private final AuditStore audit;
-    private final HttpListener operators;
-    private volatile AuditDoor trail;
-    private volatile ProbeDoor door;
+    private final HttpListener operatorListener;
+    private volatile AuditDoor auditEndpoint;
+    private volatile ProbeEndpoint endpoint;
 
     ControlRole(ProcessContext context, ProcessSettings.ControlSettings settings) {
         this.context = context;
-        this.operators = new HttpListener(settings.listen(), 1, OPERATOR_LIMITS, this::answer);
+        this.operatorListener = new HttpListener(settings.listen(), 1, OPERATOR_LIMITS, this::handle);
         ControlState state;
         try {
             this.audit = new AuditStore(settings.dataFolder().resolve(AUDIT_FOLDER));
@@ -74,16 +74,16 @@
             this.log = ConsensusLog.open(
                     context.ring(), context.timers(), context.transport(), state, consensus(context, settings));
         } catch (IOException e) {
-            operators.close();
-            // Without its log the member has nothing to say; the process ends, loudly, and changes nothing on the disk.
+            operatorListener.close();
+            // A member can't work without its log. The process fails at startup and changes nothing on disk.
             throw new UncheckedIOException(e);
         }
         this.service = new ControlService(context.ring(), context.timers(), log, state, settings.lease());
-        this.trail = new AuditDoor(context.ring(), () -> state.audit().head(), audit);
-        Executor checks = BackgroundThread.create("config-check", WAITING_CHECKS);
-        this.door = new ProbeDoor(
-                this::ready, context.metrics()::scrape, new ControlEndpoint(context.ring(), checks, service));
-        ProcessMetrics.publish(context.metrics(), "operators", operators.counters());
+        this.auditEndpoint = new AuditDoor(context.ring(), () -> state.audit().head(), audit);
+        Executor checkExecutor = BackgroundThread.create("config-check", MAX_QUEUED_CHECKS);
+        this.endpoint = new ProbeEndpoint(
+                this::ready, context.metrics()::scrape, new ControlEndpoint(context.ring(), checkExecutor, service));
+        ProcessMetrics.publish(context.metrics(), "operators", operatorListener.counters());
     }
 
     @Override
@@ -95,7 +95,7 @@
 
     @Override
     public PeerListener listener() {
-        return new MessageSwitch();
+        return new MessageRouter();
     }
 
     @Override
@@ -116,50 +116,50 @@
 
     @Override
     public void close() {
-        operators.close();
+        operatorListener.close();
         log.close();
         audit.close();
     }
 
     @Override
     public Optional<InetSocketAddress> httpAddress() {
-        return Optional.of(operators.address());
+        return Optional.of(operatorListener.address());
     }
 
-    private void answer(HttpExchange exchange) {
-        ProbeDoor open = door;
-        if (open == null) {
+    private void handle(HttpExchange exchange) {
+        ProbeEndpoint current = endpoint;
+        if (current == null) {
             exchange.respond(UNAVAILABLE, "text/plain", Map.of(), "starting".getBytes(StandardCharsets.UTF_8));
             return;
         }
         if (exchange.path().equals(AuditDoor.PATH) && exchange.method().equals("GET")) {
-            trail.handle(exchange);
+            auditEndpoint.handle(exchange);
             return;
         }
-        open.handle(exchange);
+        current.handle(exchange);
     }
 
-    private ConsensusSettings consensus(ProcessContext process, ProcessSettings.ControlSettings settings) {
-        String name = process.settings().id();
+    private ConsensusSettings consensus(ProcessContext processContext, ProcessSettings.ControlSettings settings) {
+        String name = processContext.settings().id();
         InetSocketAddress own = settings.voters().stream()
                 .filter(v -> v.name().equals(name))
                 .map(VoterAddress::address)
                 .findFirst()
-                .orElse(process.wireAddress());
+                .orElse(processContext.wireAddress());
         List<VoterAddress> voters =
                 settings.voters().isEmpty() ? List.of(new VoterAddress(name, own)) : settings.voters();
         return new ConsensusSettings(
                 settings.group(),
                 name,
                 own,
-                operators.address(),
+                operatorListener.address(),
                 voters,
                 settings.dataFolder().resolve(LOG_FOLDER),
                 settings.electionTimeout());
     }
 
-    /** Parts the messages between control members from those of other processes. */
-    private final class MessageSwitch implements PeerListener {
+    /** Routes messages between control members to the log and all others to the service. */
+    private final class MessageRouter implements PeerListener {
         @Override
         public boolean onOpen(Peer peer) {
             return service.onOpen(peer);
--- a/library/src/main/java/org/copperspindle/daemon/CopperspindleProcess.java
+++ b/library/src/main/java/org/copperspindle/daemon/CopperspindleProcess.java
@@ -25,8 +25,8 @@
 import org.copperspindle.wire.WireTransport;
 
 /**
- * One running process with the roles that its settings name. The door of the library: {@link #start} opens it,
- * {@link #stop} ends it without cutting a request off.
+ * A running process with the roles given in its settings; the main class of the library. {@link #start} starts it,
+ * and {@link #stop} stops it without interrupting requests.
  */
 public final class CopperspindleProcess {
 
@@ -40,7 +40,7 @@
     private final WireTransport transport;
     private final MetricsRegistry metrics = new MetricsRegistry();
     private final Channel wireChannel;
-    private Optional<HttpListener> probes = Optional.empty();
+    private Optional<HttpListener> probeListener = Optional.empty();
     private final List<ProcessRole> roles = new ArrayList<>();
     private Optional<ProcessRole> entry = Optional.empty();
     private Optional<ProcessRole> control = Optional.empty();
@@ -52,15 +52,15 @@
         long incarnation = newIncarnation();
         GreetingMessage greeting = new GreetingMessage(GreetingMessage.PROTOCOL, "process", settings.id(), incarnation);
         this.transport = new WireTransport(NETWORK_THREADS, MessageCatalog.registry(), greeting);
-        RoleSwitch roleSwitch = new RoleSwitch();
-        this.wireChannel = transport.listen(settings.listen(), roleSwitch);
+        RoleRouter roleRouter = new RoleRouter();
+        this.wireChannel = transport.listen(settings.listen(), roleRouter);
         ProcessContext context =
                 new ProcessContext(settings, ring, timers, transport, metrics, wireAddress(), incarnation);
         try {
-            addRoles(context, roleSwitch);
-            probes = settings.metricsListen().map(this::openProbes);
+            addRoles(context, roleRouter);
+            probeListener = settings.metricsListen().map(this::openProbeListener);
         } catch (RuntimeException e) {
-            // Network threads would keep a process alive that has no roles.
+            // The network threads would keep the process running without roles.
             kill();
             throw e;
         }
@@ -70,26 +70,27 @@
         LOGGER.info("event=started process={} wire={}", settings.id(), wireAddress());
     }
 
-    private HttpListener openProbes(InetSocketAddress address) {
-        ProbeDoor door = new ProbeDoor(this::ready, metrics::scrape, ProbeDoor.nothing());
-        return new HttpListener(address, 1, HttpLimits.DEFAULT, door);
+    private HttpListener openProbeListener(InetSocketAddress address) {
+        ProbeEndpoint endpoint = new ProbeEndpoint(this::ready, metrics::scrape, ProbeEndpoint.notFound());
+        return new HttpListener(address, 1, HttpLimits.DEFAULT, endpoint);
     }
 
-    private void addRoles(ProcessContext context, RoleSwitch roleSwitch) {
-        // Stopped in this order: an entry finishes its requests before the agent or control beside it goes.
+    private void addRoles(ProcessContext context, RoleRouter roleRouter) {
+        // Roles stop in this order: an entry finishes its requests before an agent or control role of the same
+        // process stops.
         entry = settings.entry().map(e -> new EntryRole(context, e));
         entry.ifPresent(roles::add);
         settings.agent().ifPresent(a -> roles.add(new AgentRole(context, a)));
         control = settings.control().map(c -> new ControlRole(context, c));
         control.ifPresent(roles::add);
-        roles.forEach(roleSwitch::add);
+        roles.forEach(roleRouter::add);
         roles.forEach(ProcessRole::start);
     }
 
     /**
-     * Draws the number of this life. Normally larger for each restart; where the clock was set back, control names the
-     * newest life that it knows and the member takes a larger number. The random part keeps two lives of the same
-     * millisecond apart.
+     * Creates the incarnation of this process from the time of day, so that it is normally larger after each
+     * restart. If the clock was set back, control reports the newest incarnation that it knows and the member takes
+     * a larger one. The random bits distinguish two incarnations of the same millisecond.
      */
     private static long newIncarnation() {
         long random = ThreadLocalRandom.current().nextLong(1L << INCARNATION_RANDOM_BITS);
@@ -99,7 +100,7 @@
     /**
      * Starts a process.
      *
-     * @param settings its settings
+     * @param settings settings of the process
      * @return the running process
      */
     public static CopperspindleProcess start(ProcessSettings settings) {
@@ -107,7 +108,7 @@
     }
 
     /**
-     * Returns where other processes reach this one.
+     * Returns the address at which other processes reach this one.
      *
      * @return the bound address
      */
@@ -116,7 +117,7 @@
     }
 
     /**
-     * Returns where callers reach the entry.
+     * Returns the address at which callers reach the entry.
      *
      * @return the bound address, if the process has that role
      */
@@ -125,7 +126,7 @@
     }
 
     /**
-     * Returns where operators reach the control member.
+     * Returns the address at which operators reach the control member.
      *
      * @return the bound address, if the process has that role
      */
@@ -134,25 +135,25 @@
     }
 
     /**
-     * Returns where probes and metrics are, besides the addresses of callers and operators.
+     * Returns the separate address for probes and metrics.
      *
-     * @return the bound address, if the settings name one
+     * @return the bound address, if the settings give one
      */
     public Optional<InetSocketAddress> metricsAddress() {
-        return probes.map(HttpListener::address);
+        return probeListener.map(HttpListener::address);
     }
 
     /**
-     * Says whether the process serves.
+     * Returns whether the process is serving.
      *
-     * @return false while starting, cut off or stopping
+     * @return false while it is starting, isolated or stopping
      */
     public boolean ready() {
         return roles.stream().allMatch(ProcessRole::ready);
     }
 
     /**
-     * Stops gracefully and returns when nothing is in progress any more.
+     * Stops gracefully and returns when nothing is in progress.
      *
      * @throws InterruptedException if the wait is interrupted
      */
@@ -165,27 +166,31 @@
         LOGGER.info("event=stopped process={}", settings.id());
     }
 
-    /** Ends at once, as a crash would; for tests and the demo. */
+    /** Closes everything immediately, like a crash; for tests and the demo. */
     public void kill() {
-        // Decisions end before what they use is closed: one that still ran would fail on closed network threads.
+        // The decision ring is closed before the resources that it uses: a decision still running would fail on
+        // closed network threads.
         timers.close();
         ring.close();
         roles.forEach(ProcessRole::close);
-        probes.ifPresent(HttpListener::close);
+        probeListener.ifPresent(HttpListener::close);
         transport.close();
         metrics.close();
     }
 
-    private static void stopNext(Iterator<ProcessRole> left, Runnable done) {
-        if (left.hasNext()) {
-            left.next().stop(() -> stopNext(left, done));
+    private static void stopNext(Iterator<ProcessRole> remaining, Runnable done) {
+        if (remaining.hasNext()) {
+            remaining.next().stop(() -> stopNext(remaining, done));
         } else {
             done.run();
         }
     }
 
-    /** Gives incoming messages to the role that they are for; others, as from a newer peer, are skipped. */
-    private static final class RoleSwitch implements PeerListener {
+    /**
+     * Routes incoming messages to the role that handles them; messages that no role handles, as from a newer peer,
+     * are ignored.
+     */
+    private static final class RoleRouter implements PeerListener {
         private final Map<Class<?>, PeerListener> listeners = new ConcurrentHashMap<>();
 
         private void add(ProcessRole role) {
--- a/library/src/main/java/org/copperspindle/daemon/EntryRole.java
+++ b/library/src/main/java/org/copperspindle/daemon/EntryRole.java
@@ -16,19 +16,19 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * The entry role: the callers' door. It opens connections to others and takes none from them.
+ * The entry role: the HTTP endpoint for callers. It opens connections to other processes and accepts none from them.
  */
 final class EntryRole implements ProcessRole {
 
     private static final int NETWORK_THREADS = 2;
 
-    /** Longest wait for callers that do not read their answers. */
-    private static final Duration DRAIN_BOUND = Duration.ofSeconds(5);
+    /** Longest wait at shutdown for callers that don't read their responses. */
+    private static final Duration DRAIN_TIMEOUT = Duration.ofSeconds(5);
 
     private final ProcessContext context;
     private final EntrySettings settings;
     private final EntryService service;
-    private final HttpListener callers;
+    private final HttpListener callerListener;
 
     EntryRole(ProcessContext context, EntrySettings settings) {
         this.context = context;
@@ -41,10 +41,11 @@
                 settings,
                 context.settings().controls(),
                 measures);
-        ProbeDoor door = new ProbeDoor(service::ready, context.metrics()::scrape, new EntryDoor(service, measures));
-        this.callers = new HttpListener(
-                "http-" + context.settings().id(), settings.listen(), NETWORK_THREADS, settings.limits(), door);
-        ProcessMetrics.publish(context.metrics(), "callers", callers.counters());
+        ProbeEndpoint endpoint =
+                new ProbeEndpoint(service::ready, context.metrics()::scrape, new EntryDoor(service, measures));
+        this.callerListener = new HttpListener(
+                "http-" + context.settings().id(), settings.listen(), NETWORK_THREADS, settings.limits(), endpoint);
+        ProcessMetrics.publish(context.metrics(), "callers", callerListener.counters());
         ProcessMetrics.publish(context.metrics(), service);
     }
 
@@ -85,21 +86,21 @@
 
     @Override
     public void stop(Runnable done) {
-        callers.announceStop();
-        context.timers().schedule(settings.stopDelay().toNanos(), callers::stopAccepting);
-        // The last answers are written on network threads: closing these before would cut the answers off.
-        Runnable written =
+        callerListener.announceStop();
+        context.timers().schedule(settings.stopDelay().toNanos(), callerListener::stopAccepting);
+        // The last responses are written on network threads, which must not be closed before that is done.
+        Runnable responsesWritten =
                 () -> context.ring().offerUntilTaken(done, context.transport().scheduler());
-        service.stop(() -> callers.drain(DRAIN_BOUND, written));
+        service.stop(() -> callerListener.drain(DRAIN_TIMEOUT, responsesWritten));
     }
 
     @Override
     public void close() {
-        callers.close();
+        callerListener.close();
     }
 
     @Override
     public Optional<InetSocketAddress> httpAddress() {
-        return Optional.of(callers.address());
+        return Optional.of(callerListener.address());
     }
 }
--- a/library/src/main/java/org/copperspindle/daemon/MessageCatalog.java
+++ b/library/src/main/java/org/copperspindle/daemon/MessageCatalog.java
@@ -31,7 +31,7 @@
 import org.copperspindle.wire.WireTransport;
 
 /**
- * All messages between the system's own processes.
+ * The codecs of all messages between the system's own processes.
  */
 public final class MessageCatalog {
 
@@ -63,7 +63,7 @@
     private MessageCatalog() {}
 
     /**
-     * Makes a registry of all messages.
+     * Creates a registry of all messages.
      *
      * @return a new registry
      */
--- a/library/src/main/java/org/copperspindle/daemon/ProbeDoor.java
+++ b/library/src/main/java/org/copperspindle/daemon/ProbeEndpoint.java
@@ -10,10 +10,10 @@
 import org.copperspindle.http.ProblemDetails;
 
 /**
- * What every role answers at its HTTP listener: {@code /livez}, {@code /readyz} and {@code /metrics}, by GET or HEAD.
- * Other paths go to the role's own interface.
+ * HTTP endpoint for probes and metrics, which every role serves: {@code /livez}, {@code /readyz} and
+ * {@code /metrics}, by GET or HEAD. Other paths are passed to the role's own handler.
  */
-final class ProbeDoor implements HttpRequestHandler {
+final class ProbeEndpoint implements HttpRequestHandler {
 
     private static final String JSON = "application/json";
     private static final String PROMETHEUS = "text/plain; version=0.0.4; charset=utf-8";
@@ -24,31 +24,31 @@
     private final Supplier<String> metrics;
     private final HttpRequestHandler next;
 
-    ProbeDoor(BooleanSupplier ready, Supplier<String> metrics, HttpRequestHandler next) {
+    ProbeEndpoint(BooleanSupplier ready, Supplier<String> metrics, HttpRequestHandler next) {
         this.ready = ready;
         this.metrics = metrics;
         this.next = next;
     }
 
-    /** Answers the paths that no role has. */
-    static HttpRequestHandler nothing() {
+    /** Returns a handler that responds with status 404 to every path. */
+    static HttpRequestHandler notFound() {
         return exchange -> exchange.respond(ProblemDetails.notRun("unknown-path", 404, "no such path"));
     }
 
     @Override
     public void handle(HttpExchange exchange) {
         switch (exchange.path()) {
-            case "/livez" -> answer(exchange, OK, JSON, "{\"live\":true}");
+            case "/livez" -> respond(exchange, OK, JSON, "{\"live\":true}");
             case "/readyz" -> {
-                boolean serves = ready.getAsBoolean();
-                answer(exchange, serves ? OK : UNAVAILABLE, JSON, "{\"ready\":" + serves + "}");
+                boolean isReady = ready.getAsBoolean();
+                respond(exchange, isReady ? OK : UNAVAILABLE, JSON, "{\"ready\":" + isReady + "}");
             }
-            case "/metrics" -> answer(exchange, OK, PROMETHEUS, metrics.get());
+            case "/metrics" -> respond(exchange, OK, PROMETHEUS, metrics.get());
             default -> next.handle(exchange);
         }
     }
 
-    private static void answer(HttpExchange exchange, int status, String contentType, String text) {
+    private static void respond(HttpExchange exchange, int status, String contentType, String text) {
         if (!exchange.method().equals("GET") && !exchange.method().equals("HEAD")) {
             exchange.respond(ProblemDetails.notRun("method", 405, "only GET and HEAD are possible"));
             return;
--- a/library/src/main/java/org/copperspindle/daemon/ProcessContext.java
+++ b/library/src/main/java/org/copperspindle/daemon/ProcessContext.java
@@ -8,15 +8,15 @@
 import org.copperspindle.wire.WireTransport;
 
 /**
- * What the roles of one process share.
+ * Objects that the roles of one process share.
  *
  * @param settings    settings of the process
- * @param ring        its decision ring
- * @param timers      time
- * @param transport   network between the system's own processes
- * @param metrics     what the process publishes about itself
- * @param wireAddress where other processes reach this one
- * @param incarnation number of this life of the process, larger for each restart
+ * @param ring        decision ring of the process
+ * @param timers      timer service
+ * @param transport   transport between the system's own processes
+ * @param metrics     metrics of the process
+ * @param wireAddress address at which other processes reach this one
+ * @param incarnation incarnation of the process, normally larger after each restart
  */
 record ProcessContext(
         ProcessSettings settings,
--- a/library/src/main/java/org/copperspindle/daemon/ProcessMetrics.java
+++ b/library/src/main/java/org/copperspindle/daemon/ProcessMetrics.java
@@ -8,7 +8,7 @@
 import org.copperspindle.wire.WireCounters;
 
 /**
- * Publishes what the parts of a process count.
+ * Registers the counters of a process as metrics.
  */
 final class ProcessMetrics {
 
@@ -52,7 +52,7 @@
         metrics.counter(prefix + "connections.refused", "Too many", http, HttpCounters::refusedConnections);
         metrics.counter(prefix + "senders.slow", "Requests not sent in time", http, HttpCounters::slowSenders);
         metrics.counter(prefix + "readers.slow", "Answers not read in time", http, HttpCounters::slowReaders);
-        metrics.counter(prefix + "answers.late", "Answers dropped after the end", http, HttpCounters::lateAnswers);
+        metrics.counter(prefix + "answers.late", "Answers dropped after the end", http, HttpCounters::lateResponses);
         metrics.counter(prefix + "handler.failures", "Unexpected failures", http, HttpCounters::handlerFailures);
     }
 }
--- a/library/src/main/java/org/copperspindle/daemon/ProcessRole.java
+++ b/library/src/main/java/org/copperspindle/daemon/ProcessRole.java
@@ -8,44 +8,44 @@
 import org.copperspindle.wire.WireMessage;
 
 /**
- * One role of a process.
+ * A role of a process: entry, agent or control.
  */
 interface ProcessRole {
 
     /**
-     * Returns the incoming messages that are for this role.
+     * Returns the types of incoming messages that this role handles.
      *
-     * @return their classes
+     * @return message classes
      */
     Set<Class<? extends WireMessage>> messages();
 
     /**
-     * Returns who takes them.
+     * Returns the listener for these messages.
      *
-     * @return called on network threads
+     * @return the listener, called on network threads
      */
     PeerListener listener();
 
-    /** Starts to work. Called once, before any message arrives. */
+    /** Starts the role. Called once, before any message arrives. */
     void start();
 
     /**
-     * Says whether the role serves.
+     * Returns whether the role is serving.
      *
-     * @return false while starting, cut off or stopping
+     * @return false while it is starting, isolated or stopping
      */
     default boolean ready() {
         return true;
     }
 
     /**
-     * Stops without cutting anything off. Called on the decision ring.
+     * Stops gracefully: work in progress is finished. Called on the decision ring.
      *
-     * @param done run when nothing is in progress any more
+     * @param done called when nothing is in progress any more
      */
     void stop(Runnable done);
 
-    /** Closes what is open. Called once, after {@link #stop} or in place of it. */
+    /** Releases all resources. Called once, after {@link #stop} or instead of it. */
     void close();
 
     /**
--- a/library/src/main/java/org/copperspindle/daemon/ProcessSettings.java
+++ b/library/src/main/java/org/copperspindle/daemon/ProcessSettings.java
@@ -20,7 +20,7 @@
 import org.copperspindle.wire.WireTransport;
 
 /**
- * Settings of one process: who it is, where it listens, which roles it has.
+ * Settings of one process: its identity, its addresses and its roles.
  *
  * @param id            identity of the process
  * @param failureDomain failure domain of its VM
@@ -29,7 +29,7 @@
  * @param entry         settings of the entry role, if it has it
  * @param agent         settings of the agent role, if it has it
  * @param control       settings of the control role, if it has it
- * @param metricsListen address for probes and metrics, for processes without callers or operators
+ * @param metricsListen separate address for probes and metrics, for a process without callers or operators
  */
 public record ProcessSettings(
         String id,
@@ -42,20 +42,23 @@
         Optional<InetSocketAddress> metricsListen) {
 
     private static final List<String> KINDS = List.of("process", "entry", "agent", "control");
-    private static final Duration DEFAULT_RENEW = Duration.ofSeconds(1);
+    private static final Duration DEFAULT_RENEW_INTERVAL = Duration.ofSeconds(1);
     private static final Duration DEFAULT_LEASE = Duration.ofSeconds(5);
-    private static final Duration DEFAULT_ELECTION = Duration.ofSeconds(1);
-    private static final Duration MIN_ELECTION = Duration.ofMillis(100);
+    private static final Duration DEFAULT_ELECTION_TIMEOUT = Duration.ofSeconds(1);
+    private static final Duration MIN_ELECTION_TIMEOUT = Duration.ofMillis(100);
     private static final String DEFAULT_GROUP = "copperspindle";
     private static final String VOTERS_EXPECTED = "ID@IP:PORT of each voter, separated by commas";
     private static final int MAX_VOTERS = 5;
-    private static final int DEFAULT_IN_PROGRESS = 2000;
+    private static final int DEFAULT_MAX_IN_PROGRESS = 2000;
 
-    /** A body travels in one frame between own processes, with what the stages before added to it. */
-    private static final long MAX_BODY = WireTransport.MAX_FRAME_BYTES / 2;
+    /**
+     * A request body is sent between processes in one frame together with the output of earlier stages, so it may
+     * take half of a frame.
+     */
+    private static final long MAX_BODY_BYTES = WireTransport.MAX_FRAME_BYTES / 2;
 
     /**
-     * Makes settings without an address of its own for probes.
+     * Creates settings without a separate address for probes.
      *
      * @param id            identity of the process
      * @param failureDomain failure domain of its VM
@@ -83,8 +86,9 @@
      * @param dataFolder      folder of the log
      * @param lease           length of members' leases
      * @param group           name of the group of control members
-     * @param voters          wanted voters of the log, the same on all members; empty for this process alone
-     * @param electionTimeout after which a silent leader is replaced
+     * @param voters          configured voters of the log, the same on all members; empty if this process is the
+     *                        only one
+     * @param electionTimeout time without a message from the leader after which a new one is elected
      */
     public record ControlSettings(
             InetSocketAddress listen,
@@ -95,14 +99,14 @@
             Duration electionTimeout) {
 
         /**
-         * Makes the settings of a control member that is the only one.
+         * Creates the settings of a single control member.
          *
          * @param listen     address for operators
          * @param dataFolder folder of the log
          * @param lease      length of members' leases
          */
         public ControlSettings(InetSocketAddress listen, Path dataFolder, Duration lease) {
-            this(listen, dataFolder, lease, DEFAULT_GROUP, List.of(), DEFAULT_ELECTION);
+            this(listen, dataFolder, lease, DEFAULT_GROUP, List.of(), DEFAULT_ELECTION_TIMEOUT);
         }
     }
 
@@ -130,7 +134,7 @@
         String domain = s.getString("failure-domain", "the failure domain of this VM");
         InetSocketAddress listen = s.getAddress("listen", Optional.empty());
         List<InetSocketAddress> controls = s.getAddresses("controls");
-        Duration renew = s.getDuration("renew", Optional.of(DEFAULT_RENEW));
+        Duration renew = s.getDuration("renew", Optional.of(DEFAULT_RENEW_INTERVAL));
         Optional<InetSocketAddress> metrics = s.getOptionalAddress("metrics-listen");
         s.finish();
         Optional<EntrySettings> entry =
@@ -151,7 +155,7 @@
                 s.getAddress("listen", Optional.empty()),
                 domain,
                 renew,
-                (int) s.getLong("max-in-progress", 1, 1_000_000, Optional.of((long) DEFAULT_IN_PROGRESS)),
+                (int) s.getLong("max-in-progress", 1, 1_000_000, Optional.of((long) DEFAULT_MAX_IN_PROGRESS)),
                 s.getDuration("stop-delay", Optional.of(Duration.ofSeconds(2))),
                 readHttpLimits(s));
         s.finish();
@@ -163,7 +167,7 @@
         return new HttpLimits(
                 (int) s.getBytes("max-line", 256, 64 << 10, Optional.of((long) d.maxLineBytes())),
                 (int) s.getBytes("max-header", 1 << 10, 256 << 10, Optional.of((long) d.maxHeaderBytes())),
-                (int) s.getBytes("max-body", 1, MAX_BODY, Optional.of((long) d.maxBodyBytes())),
+                (int) s.getBytes("max-body", 1, MAX_BODY_BYTES, Optional.of((long) d.maxBodyBytes())),
                 (int) s.getLong("max-connections", 1, 1_000_000, Optional.of((long) d.maxConnections())),
                 s.getDuration("read-timeout", Optional.of(d.readTimeout())),
                 s.getDuration("idle-timeout", Optional.of(d.idleTimeout())),
@@ -223,15 +227,18 @@
                 s.getDuration("lease", Optional.of(DEFAULT_LEASE)),
                 s.getString("group", "a name for the group of control members", DEFAULT_GROUP),
                 readVoters(s),
-                s.getDuration("election-timeout", Optional.of(DEFAULT_ELECTION)));
-        if (control.electionTimeout().compareTo(MIN_ELECTION) < 0) {
+                s.getDuration("election-timeout", Optional.of(DEFAULT_ELECTION_TIMEOUT)));
+        if (control.electionTimeout().compareTo(MIN_ELECTION_TIMEOUT) < 0) {
             s.reject("election-timeout", "too short to be told from a slow disk", "100ms or more");
         }
         s.finish();
         return control;
     }
 
-    /** Required: a member that took itself for the only one would found a group beside the real one. */
+    /**
+     * Reads the voters. The key is required, because a member without it would take itself for the only one and
+     * start a second group.
+     */
     private static List<VoterAddress> readVoters(SettingsSection s) {
         List<VoterAddress> voters = new ArrayList<>();
         for (String text : s.getList("voters", VOTERS_EXPECTED, Optional.empty())) {
--- a/library/src/main/java/org/copperspindle/daemon/package-info.java
+++ b/library/src/main/java/org/copperspindle/daemon/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Assembles a process from its settings: one ring, one transport, and the roles that the file names.
+ * Builds a process from its settings: a decision ring, a transport, and the configured roles.
  */
 package org.copperspindle.daemon;
--- a/library/src/main/java/org/copperspindle/http/HttpConnectionHandler.java
+++ b/library/src/main/java/org/copperspindle/http/HttpConnectionHandler.java
@@ -27,28 +27,29 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * One caller's connection: hands its requests on one at a time, so that answers leave in the order of the requests, and
- * bounds the time that each step may take. Its fields belong to the connection's network thread.
+ * Netty handler of one caller's connection. It passes requests to the handler one at a time, so that responses are
+ * sent in the order of the requests, and enforces the timeouts. Fields are accessed only on the connection's network
+ * thread.
  */
 final class HttpConnectionHandler extends ChannelInboundHandlerAdapter {
 
     private static final Logger LOGGER = LogManager.getLogger(HttpConnectionHandler.class);
 
-    /** Requests that may wait behind the one being answered before reading pauses. */
-    private static final int MAX_WAITING = 8;
+    /** Pipelined requests that may be queued behind the current one before reading pauses. */
+    private static final int MAX_QUEUED_REQUESTS = 8;
 
-    /** Enough for the last bytes of an answer to be read before the connection is reset. */
-    private static final Duration LINGER = Duration.ofSeconds(1);
+    /** Time for the caller to read the last bytes of a response before the connection is closed. */
+    private static final Duration LINGER_TIME = Duration.ofSeconds(1);
 
     private final HttpLimits limits;
     private final HttpCounters counters;
     private final HttpRequestHandler handler;
     private final BooleanSupplier stopping;
     private final RequestAssembler assembler;
-    private final Deque<ReceivedRequest> waiting = new ArrayDeque<>();
-    private Optional<HttpExchange> current = Optional.empty();
-    private boolean takesNoMore;
-    private Future<?> requestTimeout;
+    private final Deque<ReceivedRequest> queuedRequests = new ArrayDeque<>();
+    private Optional<HttpExchange> currentExchange = Optional.empty();
+    private boolean inputClosed;
+    private Future<?> readTimeout;
     private Future<?> idleTimeout;
     private Future<?> writeTimeout;
     private volatile ChannelHandlerContext context;
@@ -65,15 +66,15 @@
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
         context = ctx;
-        waitForRequest(limits.readTimeout());
+        startIdleTimeout(limits.readTimeout());
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object part) {
         try {
-            if (!takesNoMore) {
-                assembler.accept((HttpObject) part).ifPresent(this::received);
-                tellToContinue();
+            if (!inputClosed) {
+                assembler.accept((HttpObject) part).ifPresent(this::onRequest);
+                sendContinueIfExpected();
             }
         } finally {
             ReferenceCountUtil.release(part);
@@ -84,9 +85,9 @@
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
         if (event != StrictRequestDecoder.REQUEST_STARTED) {
             ctx.fireUserEventTriggered(event);
-        } else if (!takesNoMore) {
+        } else if (!inputClosed) {
             cancel(idleTimeout);
-            waitForRest();
+            startReadTimeout();
         }
     }
 
@@ -94,7 +95,7 @@
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
         cancel(writeTimeout);
         if (!ctx.channel().isWritable()) {
-            waitForReader();
+            startWriteTimeout();
         }
     }
 
@@ -113,18 +114,18 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        takesNoMore = true;
-        cancel(requestTimeout);
+        inputClosed = true;
+        cancel(readTimeout);
         cancel(idleTimeout);
         cancel(writeTimeout);
-        // Requests that wait were handed to nobody: they are not run, and there is nobody to tell.
-        waiting.clear();
-        current.ifPresent(this::drop);
+        // Queued requests were not passed to the handler: they don't run, and no caller is left to answer.
+        queuedRequests.clear();
+        currentExchange.ifPresent(this::dropExchange);
     }
 
-    /** Closes the connection unless a request has begun; then it closes after the answer. */
+    /** Closes the connection unless a request has begun; in that case it closes after the response. */
     void closeIfIdle() {
-        if (current.isEmpty() && waiting.isEmpty() && assembler.isBetweenRequests()) {
+        if (currentExchange.isEmpty() && queuedRequests.isEmpty() && assembler.isIdle()) {
             context.close();
         }
     }
@@ -158,25 +159,25 @@
     }
 
     /**
-     * Ends an answer. Callable from any thread, after the answer's other parts were written.
+     * Completes a response. May be called from any thread, after the other parts of the response were written.
      *
-     * @param exchange the answered exchange
-     * @param close    whether the connection ends with it
+     * @param exchange the exchange that was responded to
+     * @param close    whether the connection closes after it
      */
-    void end(HttpExchange exchange, boolean close) {
+    void complete(HttpExchange exchange, boolean close) {
         ChannelFuture written = context.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
         if (!written.isDone()) {
-            context.executor().execute(() -> awaitReader(written));
+            context.executor().execute(() -> startWriteTimeoutUnlessDone(written));
         }
-        written.addListener(done -> answered(exchange, close));
+        written.addListener(done -> onResponseWritten(exchange, close));
     }
 
     /**
-     * Closes the connection in the middle of an answer. Callable from any thread.
+     * Closes the connection before the response is complete. May be called from any thread.
      *
-     * @param reason for the log
+     * @param reason reason for the log
      */
-    void abandon(String reason) {
+    void abort(String reason) {
         LOGGER.warn(
                 "event=answer-abandoned reason={} remote={}",
                 reason,
@@ -184,45 +185,46 @@
         context.close();
     }
 
-    private void received(ReceivedRequest request) {
-        cancel(requestTimeout);
+    private void onRequest(ReceivedRequest request) {
+        cancel(readTimeout);
         if (request instanceof ReceivedRequest.Refused) {
-            takesNoMore = true;
+            inputClosed = true;
             counters.refusedRequest();
         }
-        waiting.add(request);
-        if (waiting.size() >= MAX_WAITING) {
-            // A caller that sends without reading answers holds no more than this and what one read brought.
+        queuedRequests.add(request);
+        if (queuedRequests.size() >= MAX_QUEUED_REQUESTS) {
+            // Bounds the memory used by a caller that sends requests without reading responses to this many requests
+            // and the bytes of one read.
             context.channel().config().setAutoRead(false);
         }
         handleNext();
     }
 
     private void refuse(ProblemDetails problem) {
-        if (!takesNoMore) {
-            received(new ReceivedRequest.Refused(problem));
+        if (!inputClosed) {
+            onRequest(new ReceivedRequest.Refused(problem));
         }
     }
 
     private void handleNext() {
-        if (current.isPresent() || waiting.isEmpty()) {
+        if (currentExchange.isPresent() || queuedRequests.isEmpty()) {
             return;
         }
-        ReceivedRequest next = waiting.poll();
+        ReceivedRequest next = queuedRequests.poll();
         counters.requestBegun();
         if (next instanceof ReceivedRequest.Refused refused) {
             LOGGER.info(
                     "event=request-refused reason={} remote={}",
                     refused.problem().verdict().reason(),
                     context.channel().remoteAddress());
-            HttpExchange exchange = new HttpExchange(this, nothing(), RequestTarget.NONE, new byte[0]);
-            current = Optional.of(exchange);
+            HttpExchange exchange = new HttpExchange(this, placeholderRequest(), RequestTarget.NONE, new byte[0]);
+            currentExchange = Optional.of(exchange);
             exchange.respond(refused.problem());
         } else if (next instanceof ReceivedRequest.Whole whole) {
             HttpRequest head = whole.head();
             RequestTarget target = RequestTarget.parse(head.uri()).orElseThrow();
             HttpExchange exchange = new HttpExchange(this, head, target, whole.body());
-            current = Optional.of(exchange);
+            currentExchange = Optional.of(exchange);
             handle(exchange);
         }
     }
@@ -233,97 +235,101 @@
         } catch (RuntimeException e) {
             counters.handlerFailure();
             LOGGER.error("event=handler-failed", e);
-            // The handler may have handed the request on before it failed, so this proves nothing about a run.
+            // The handler may have passed the request on before it failed, so the request may have run.
             exchange.respond(ProblemDetails.internalError());
         }
     }
 
-    private void answered(HttpExchange exchange, boolean close) {
-        if (current.filter(e -> e == exchange).isEmpty()) {
+    private void onResponseWritten(HttpExchange exchange, boolean close) {
+        if (currentExchange.filter(e -> e == exchange).isEmpty()) {
             return;
         }
         cancel(writeTimeout);
-        current = Optional.empty();
+        currentExchange = Optional.empty();
         counters.requestEnded();
         if (close) {
-            closeGently();
+            closeAfterLinger();
             return;
         }
-        if (waiting.isEmpty()) {
-            waitForNext();
+        if (queuedRequests.isEmpty()) {
+            awaitNextRequest();
             return;
         }
         handleNext();
     }
 
-    private void waitForNext() {
+    private void awaitNextRequest() {
         if (!context.channel().config().isAutoRead()) {
             context.channel().config().setAutoRead(true);
         }
-        if (!assembler.isBetweenRequests()) {
-            tellToContinue();
-            waitForRest();
+        if (!assembler.isIdle()) {
+            sendContinueIfExpected();
+            startReadTimeout();
         } else if (isStopping()) {
             context.close();
         } else {
-            waitForRequest(limits.idleTimeout());
+            startIdleTimeout(limits.idleTimeout());
         }
     }
 
-    /** A close with unread bytes resets the connection, and a reset can destroy the answer before it is read. */
-    private void closeGently() {
-        takesNoMore = true;
-        waiting.clear();
+    /**
+     * Closes the output side first and the connection after a delay. Closing a socket with unread bytes resets the
+     * connection, and a reset can discard the response before the caller has read it.
+     */
+    private void closeAfterLinger() {
+        inputClosed = true;
+        queuedRequests.clear();
         if (!context.channel().isActive()) {
             return;
         }
         context.channel().config().setAutoRead(true);
         ((SocketChannel) context.channel()).shutdownOutput();
-        context.executor().schedule(() -> context.close(), LINGER.toNanos(), TimeUnit.NANOSECONDS);
+        context.executor().schedule(() -> context.close(), LINGER_TIME.toNanos(), TimeUnit.NANOSECONDS);
     }
 
-    private void drop(HttpExchange exchange) {
-        current = Optional.empty();
+    private void dropExchange(HttpExchange exchange) {
+        currentExchange = Optional.empty();
         counters.requestEnded();
         exchange.connectionClosed();
     }
 
-    private void tellToContinue() {
-        // Behind an unanswered request the caller would take this for a part of that answer.
-        if (current.isEmpty() && waiting.isEmpty() && !takesNoMore && assembler.takeContinue()) {
+    private void sendContinueIfExpected() {
+        // While an earlier request is unanswered, the caller would take this for its response.
+        if (currentExchange.isEmpty() && queuedRequests.isEmpty() && !inputClosed && assembler.pollContinueExpected()) {
             context.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE));
         }
     }
 
-    private void waitForRequest(Duration bound) {
+    private void startIdleTimeout(Duration bound) {
         cancel(idleTimeout);
         idleTimeout = schedule(bound, () -> context.close());
     }
 
-    private void waitForRest() {
-        cancel(requestTimeout);
+    private void startReadTimeout() {
+        cancel(readTimeout);
         if (!context.channel().config().isAutoRead()) {
-            // Reading is paused by this side; the time starts when it goes on.
+            // This side has paused reading; the timeout starts when reading resumes.
             return;
         }
-        // One bound over the whole request: a timer that each byte puts off holds a connection for ever.
-        requestTimeout = schedule(limits.readTimeout(), () -> {
+        // One timeout for the whole request: a timeout that restarts with each byte would let a slow caller hold the
+        // connection forever.
+        readTimeout = schedule(limits.readTimeout(), () -> {
             counters.slowSender();
             refuse(ProblemDetails.notRun("request-timeout", 408, "the request did not arrive in time"));
         });
     }
 
-    private void awaitReader(ChannelFuture written) {
+    private void startWriteTimeoutUnlessDone(ChannelFuture written) {
         if (!written.isDone()) {
-            waitForReader();
+            startWriteTimeout();
         }
     }
 
-    private void waitForReader() {
+    private void startWriteTimeout() {
         cancel(writeTimeout);
         writeTimeout = schedule(limits.writeTimeout(), () -> {
             counters.slowReader();
-            abandon("caller-not-reading");
+            abort("caller-not-reading");
         });
     }
 
@@ -337,7 +343,7 @@
         }
     }
 
-    private static HttpRequest nothing() {
+    private static HttpRequest placeholderRequest() {
         return new DefaultHttpRequest(HttpVersion.HTTP_1_0, HttpMethod.GET, "/");
     }
 }
--- a/library/src/main/java/org/copperspindle/http/HttpCounters.java
+++ b/library/src/main/java/org/copperspindle/http/HttpCounters.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * Counts what happens at one listener; read by metrics.
+ * Counters of one listener; read by the metrics.
  */
 public final class HttpCounters {
 
@@ -15,7 +15,7 @@
     private final LongAdder refusedRequests = new LongAdder();
     private final LongAdder slowSenders = new LongAdder();
     private final LongAdder slowReaders = new LongAdder();
-    private final LongAdder lateAnswers = new LongAdder();
+    private final LongAdder lateResponses = new LongAdder();
     private final LongAdder handlerFailures = new LongAdder();
 
     int connected() {
@@ -51,8 +51,8 @@
         slowReaders.increment();
     }
 
-    void lateAnswer() {
-        lateAnswers.increment();
+    void lateResponse() {
+        lateResponses.increment();
     }
 
     void handlerFailure() {
@@ -60,7 +60,7 @@
     }
 
     /**
-     * Returns the connections that are open.
+     * Returns the number of open connections.
      *
      * @return a count
      */
@@ -69,7 +69,7 @@
     }
 
     /**
-     * Returns requests handed on whose answer has not been written out.
+     * Returns the number of requests begun whose response has not been written yet.
      *
      * @return a count
      */
@@ -78,7 +78,7 @@
     }
 
     /**
-     * Returns requests handed on.
+     * Returns the number of requests begun, refused ones included.
      *
      * @return a count
      */
@@ -87,7 +87,7 @@
     }
 
     /**
-     * Returns connections refused because too many were open.
+     * Returns the number of connections refused because too many were open.
      *
      * @return a count
      */
@@ -96,7 +96,7 @@
     }
 
     /**
-     * Returns requests refused because of their form: malformed, ambiguous, too large or too slow.
+     * Returns the number of requests refused before handling: malformed, ambiguous, too large or too slow.
      *
      * @return a count
      */
@@ -105,7 +105,7 @@
     }
 
     /**
-     * Returns requests that did not arrive in time; part of {@link #refusedRequests()}.
+     * Returns the number of requests that did not arrive in time; included in {@link #refusedRequests()}.
      *
      * @return a count
      */
@@ -114,7 +114,7 @@
     }
 
     /**
-     * Returns connections closed because the caller did not read its answer.
+     * Returns the number of connections closed because the caller did not read its response.
      *
      * @return a count
      */
@@ -123,16 +123,17 @@
     }
 
     /**
-     * Returns answers, or pieces of them, that came after the connection or the answer had ended; they were dropped.
+     * Returns the number of responses, or parts of responses, dropped because the connection or the response had
+     * ended already.
      *
      * @return a count
      */
-    public long lateAnswers() {
-        return lateAnswers.sum();
+    public long lateResponses() {
+        return lateResponses.sum();
     }
 
     /**
-     * Returns unexpected failures while a request was handled.
+     * Returns the number of unexpected failures while a request was handled.
      *
      * @return a count
      */
--- a/library/src/main/java/org/copperspindle/http/HttpExchange.java
+++ b/library/src/main/java/org/copperspindle/http/HttpExchange.java
@@ -22,13 +22,13 @@
 import io.netty.handler.codec.http.HttpVersion;
 
 /**
- * One request and its answer. Answering is possible from any thread. An exchange is answered once at most: whatever
- * comes after its answer, or after its connection, is dropped and counted.
+ * An HTTP request and its response. The response may be sent from any thread, and only once: whatever is sent after
+ * the response or the connection has ended is dropped and counted.
  */
 public final class HttpExchange {
 
-    private static final Runnable NOBODY = () -> {};
-    private static final Runnable TOLD = () -> {};
+    private static final Runnable NO_LISTENER = () -> {};
+    private static final Runnable NOTIFIED = () -> {};
 
     private final HttpConnectionHandler connection;
     private final String method;
@@ -36,10 +36,10 @@
     private final RequestTarget target;
     private final HttpHeaders headers;
     private final byte[] body;
-    private final boolean old;
+    private final boolean http10;
     private final boolean keepAlive;
-    private final AtomicReference<AnswerState> state = new AtomicReference<>(AnswerState.AWAITED);
-    private final AtomicReference<Runnable> closed = new AtomicReference<>(NOBODY);
+    private final AtomicReference<ResponseState> state = new AtomicReference<>(ResponseState.AWAITED);
+    private final AtomicReference<Runnable> closeListener = new AtomicReference<>(NO_LISTENER);
     private final AtomicLong pendingBytes = new AtomicLong();
 
     HttpExchange(HttpConnectionHandler connection, HttpRequest head, RequestTarget target, byte[] body) {
@@ -49,13 +49,14 @@
         this.target = target;
         this.headers = head.headers();
         this.body = body;
-        this.old = head.protocolVersion().equals(HttpVersion.HTTP_1_0);
-        // HTTP/1.0 has no chunks, and its persistence was never agreed on: one answer for each connection.
-        this.keepAlive = !old && HttpUtil.isKeepAlive(head);
+        this.http10 = head.protocolVersion().equals(HttpVersion.HTTP_1_0);
+        // HTTP/1.0 has no chunked encoding and no standard for persistent connections: the connection closes after
+        // one response.
+        this.keepAlive = !http10 && HttpUtil.isKeepAlive(head);
     }
 
     /**
-     * Returns the method.
+     * Returns the request method.
      *
      * @return for example {@code POST}
      */
@@ -64,7 +65,7 @@
     }
 
     /**
-     * Returns the target as it stood in the request line.
+     * Returns the target as sent in the request line.
      *
      * @return path and query, not decoded
      */
@@ -75,7 +76,7 @@
     /**
      * Returns all header fields.
      *
-     * @return in the order in which they came
+     * @return in the order received
      */
     public List<HeaderField> fields() {
         return headers.entries().stream()
@@ -93,7 +94,7 @@
     }
 
     /**
-     * Finds a query parameter.
+     * Returns a query parameter.
      *
      * @param name its name
      * @return its first value
@@ -103,7 +104,7 @@
     }
 
     /**
-     * Finds a header field.
+     * Returns a header field.
      *
      * @param name its name, in any case
      * @return its first value
@@ -113,17 +114,17 @@
     }
 
     /**
-     * Says how often a header field was sent.
+     * Returns how often a header field was sent.
      *
      * @param name its name, in any case
-     * @return number of lines
+     * @return number of header lines with that name
      */
     public int headerCount(String name) {
         return headers.getAll(name).size();
     }
 
     /**
-     * Returns the whole body.
+     * Returns the request body.
      *
      * @return its bytes
      */
@@ -132,36 +133,38 @@
     }
 
     /**
-     * Says whether the answer may be sent in pieces, whose end the caller can tell from a cut connection.
+     * Returns whether the response may be sent in chunks, which lets the caller tell the end of the response from a
+     * broken connection.
      *
      * @return false for HTTP/1.0
      */
     public boolean supportsPieces() {
-        return !old;
+        return !http10;
     }
 
     /**
-     * Asks to be told, once, when the connection ends before the answer does; at once if it has.
+     * Registers a task that runs once if the connection closes before the response is complete; it runs immediately
+     * if the connection has closed already.
      *
-     * @param task run on a network thread
+     * @param task the task; normally run on a network thread
      */
     public void onClosed(Runnable task) {
-        if (!closed.compareAndSet(NOBODY, task)) {
+        if (!closeListener.compareAndSet(NO_LISTENER, task)) {
             task.run();
         }
     }
 
     /**
-     * Says whether what was written has mostly left.
+     * Returns whether more of the response can be written without buffering too much.
      *
-     * @return false if a sender of pieces should hold back
+     * @return false if a sender of chunks should stop writing for now
      */
     public boolean isWritable() {
         return state.get().open && connection.isWritable();
     }
 
     /**
-     * Returns how much of the answer waits for the caller to read.
+     * Returns how many bytes of the response wait to be sent to the caller.
      *
      * @return bytes
      */
@@ -172,98 +175,98 @@
     /**
      * Returns the connection's network thread as a scheduler.
      *
-     * @return for tasks that must not block it
+     * @return scheduler for tasks that don't block
      */
     public ScheduledExecutorService scheduler() {
         return connection.scheduler();
     }
 
     /**
-     * Sends a whole answer.
+     * Sends a complete response.
      *
      * @param status      HTTP status
      * @param contentType content type
      * @param fields      further header fields
-     * @param answer      body
+     * @param content     body
      */
-    public void respond(int status, String contentType, Map<String, String> fields, byte[] answer) {
-        if (!advance(AnswerState.AWAITED, AnswerState.ENDED)) {
+    public void respond(int status, String contentType, Map<String, String> fields, byte[] content) {
+        if (!transition(ResponseState.AWAITED, ResponseState.ENDED)) {
             return;
         }
-        sendWhole(head(status, contentType, fields), answer);
+        sendComplete(head(status, contentType, fields), content);
     }
 
     /**
-     * Sends the whole answer with the header fields of another answer, for example an upstream's.
+     * Sends a complete response with the header fields of another response, for example an upstream's.
      *
-     * @param status HTTP status
-     * @param fields header fields but those of this connection and its framing
-     * @param answer the body
+     * @param status  HTTP status
+     * @param fields  header fields, without those for the connection and message framing
+     * @param content the body
      */
-    public void respond(int status, List<HeaderField> fields, byte[] answer) {
-        if (!advance(AnswerState.AWAITED, AnswerState.ENDED)) {
+    public void respond(int status, List<HeaderField> fields, byte[] content) {
+        if (!transition(ResponseState.AWAITED, ResponseState.ENDED)) {
             return;
         }
-        sendWhole(head(status, fields), answer);
+        sendComplete(head(status, fields), content);
     }
 
     /**
-     * Sends a problem.
+     * Sends a problem as the complete response.
      *
-     * @param problem the whole answer
+     * @param problem the problem
      */
     public void respond(ProblemDetails problem) {
         respond(problem.status(), ProblemDetails.CONTENT_TYPE, problem.fields(), problem.body());
     }
 
     /**
-     * Starts an answer in pieces.
+     * Starts a chunked response.
      *
      * @param contentType content type
      * @param fields      further header fields
      */
     public void start(String contentType, Map<String, String> fields) {
-        if (!advance(AnswerState.AWAITED, AnswerState.STARTED)) {
+        if (!transition(ResponseState.AWAITED, ResponseState.STARTED)) {
             return;
         }
         HttpResponse head = head(HttpResponseStatus.OK.code(), contentType, fields);
         head.headers().set(HttpHeaderNames.CACHE_CONTROL, HttpHeaderValues.NO_CACHE);
-        startPieces(head);
+        startChunked(head);
     }
 
     /**
-     * Starts an answer in pieces with the header fields of another answer, for example an upstream's.
+     * Starts a chunked response with the header fields of another response, for example an upstream's.
      *
      * @param status HTTP status
-     * @param fields header fields but those of this connection and its framing
+     * @param fields header fields, without those for the connection and message framing
      */
     public void start(int status, List<HeaderField> fields) {
-        if (!advance(AnswerState.AWAITED, AnswerState.STARTED)) {
+        if (!transition(ResponseState.AWAITED, ResponseState.STARTED)) {
             return;
         }
-        startPieces(head(status, fields));
+        startChunked(head(status, fields));
     }
 
     /**
-     * Sends a piece of a started answer. If the caller has left too much unread, the connection is closed instead, as
-     * broken: the pieces must not fill this process's memory.
+     * Sends a chunk of a started response. If too many bytes wait for the caller, the connection is closed without
+     * the end of the response instead, so that the chunks can't fill this process's memory.
      *
-     * @param text the piece
-     * @return false if the answer has ended or is ended by this
+     * @param text the chunk
+     * @return false if the response has ended or was aborted by this call
      */
     public boolean write(String text) {
         return write(text.getBytes(StandardCharsets.UTF_8));
     }
 
     /**
-     * Sends a piece of a started answer; see {@link #write(String)}.
+     * Sends a chunk of a started response; see {@link #write(String)}.
      *
-     * @param bytes the piece, not changed afterwards
-     * @return false if the answer has ended or is ended by this
+     * @param bytes the chunk; must not be modified afterwards
+     * @return false if the response has ended or was aborted by this call
      */
     public boolean write(byte[] bytes) {
-        if (state.get() != AnswerState.STARTED) {
-            connection.counters().lateAnswer();
+        if (state.get() != ResponseState.STARTED) {
+            connection.counters().lateResponse();
             return false;
         }
         if (pendingBytes.addAndGet(bytes.length) > connection.limits().maxPendingBytes()) {
@@ -277,49 +280,52 @@
         return true;
     }
 
-    /** Ends a started answer. */
+    /** Completes a started response. */
     public void finish() {
-        if (advance(AnswerState.STARTED, AnswerState.ENDED)) {
-            connection.end(this, !keepAlive || connection.isStopping());
+        if (transition(ResponseState.STARTED, ResponseState.ENDED)) {
+            connection.complete(this, !keepAlive || connection.isStopping());
         }
     }
 
-    /** Ends a started answer as broken: the connection closes without the end mark. */
+    /**
+     * Aborts a started response: the connection closes without the terminating chunk, so that the caller sees the
+     * response as incomplete.
+     */
     public void breakOff() {
-        if (state.compareAndSet(AnswerState.STARTED, AnswerState.BROKEN)) {
-            connection.abandon("answer-broken");
+        if (state.compareAndSet(ResponseState.STARTED, ResponseState.BROKEN)) {
+            connection.abort("answer-broken");
         }
     }
 
-    private void sendWhole(HttpResponse head, byte[] answer) {
-        head.headers().set(HttpHeaderNames.CONTENT_LENGTH, answer.length);
-        boolean close = closesAfter(head);
+    private void sendComplete(HttpResponse head, byte[] content) {
+        head.headers().set(HttpHeaderNames.CONTENT_LENGTH, content.length);
+        boolean close = markConnectionClose(head);
         connection.write(head);
-        if (answer.length > 0 && !method.equals(HttpMethod.HEAD.name())) {
-            connection.write(new DefaultHttpContent(Unpooled.wrappedBuffer(answer)));
+        if (content.length > 0 && !method.equals(HttpMethod.HEAD.name())) {
+            connection.write(new DefaultHttpContent(Unpooled.wrappedBuffer(content)));
         }
-        connection.end(this, close);
+        connection.complete(this, close);
     }
 
-    private void startPieces(HttpResponse head) {
+    private void startChunked(HttpResponse head) {
         head.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
-        closesAfter(head);
+        markConnectionClose(head);
         connection.write(head);
     }
 
-    /** The connection ended. */
+    /** Marks the response as dropped because the connection has closed. */
     void connectionClosed() {
-        AnswerState before = state.getAndUpdate(s -> s.open ? AnswerState.DROPPED : s);
+        ResponseState before = state.getAndUpdate(s -> s.open ? ResponseState.DROPPED : s);
         if (before.open) {
-            closed.getAndSet(TOLD).run();
+            closeListener.getAndSet(NOTIFIED).run();
         }
     }
 
-    private boolean advance(AnswerState from, AnswerState to) {
+    private boolean transition(ResponseState from, ResponseState to) {
         if (state.compareAndSet(from, to)) {
             return true;
         }
-        connection.counters().lateAnswer();
+        connection.counters().lateResponse();
         return false;
     }
 
@@ -336,7 +342,7 @@
         return head;
     }
 
-    private boolean closesAfter(HttpResponse head) {
+    private boolean markConnectionClose(HttpResponse head) {
         boolean close = !keepAlive || connection.isStopping();
         if (close) {
             head.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
@@ -344,22 +350,22 @@
         return close;
     }
 
-    /** How far the answer has come. */
-    private enum AnswerState {
-        /** Nothing was sent. */
+    /** State of the response. */
+    private enum ResponseState {
+        /** Nothing has been sent. */
         AWAITED(true),
-        /** The head was sent, pieces follow. */
+        /** The head has been sent; chunks follow. */
         STARTED(true),
-        /** No more is sent, and the connection is being closed without the end mark. */
+        /** Aborted: nothing more is sent, and the connection is being closed without the terminating chunk. */
         BROKEN(true),
-        /** All was handed to the connection. */
+        /** The complete response has been passed to the connection. */
         ENDED(false),
-        /** The connection ended first. */
+        /** The connection closed before the response was complete. */
         DROPPED(false);
 
         private final boolean open;
 
-        AnswerState(boolean open) {
+        ResponseState(boolean open) {
             this.open = open;
         }
     }
--- a/library/src/main/java/org/copperspindle/http/HttpLimits.java
+++ b/library/src/main/java/org/copperspindle/http/HttpLimits.java
@@ -3,16 +3,16 @@
 import java.time.Duration;
 
 /**
- * Bounds on what one connection may make this process hold, and for how long.
+ * Limits on the memory and time that one connection may take.
  *
  * @param maxLineBytes    longest request line
- * @param maxHeaderBytes  all header fields together
+ * @param maxHeaderBytes  total size of all header fields
  * @param maxBodyBytes    longest body
- * @param maxConnections  connections open at once; further ones are refused
- * @param readTimeout     from the first byte of a request to its last, however slowly they come
- * @param idleTimeout     longest wait for the next request of a connection that is kept open
- * @param writeTimeout    longest time that a caller may leave an answer unread
- * @param maxPendingBytes bytes of an answer in pieces that may wait for a caller that reads slowly
+ * @param maxConnections  most open connections; further ones are refused
+ * @param readTimeout     longest time from the first byte of a request to its last, however slowly they arrive
+ * @param idleTimeout     longest wait for the next request on a persistent connection
+ * @param writeTimeout    longest time that a caller may leave a response unread
+ * @param maxPendingBytes most bytes of a chunked response that may wait for a slow caller
  */
 public record HttpLimits(
         int maxLineBytes,
@@ -24,7 +24,7 @@
         Duration writeTimeout,
         long maxPendingBytes) {
 
-    /** Limits for callers where the settings name none. */
+    /** Default limits, used where the settings give none. */
     public static final HttpLimits DEFAULT = new HttpLimits(
             4096,
             16384,
@@ -36,13 +36,13 @@
             256 << 10);
 
     /**
-     * Makes limits with the usual bounds on waiting.
+     * Creates limits with the default idle timeout, write timeout and pending bytes.
      *
      * @param maxLineBytes   longest request line
-     * @param maxHeaderBytes all header fields together
+     * @param maxHeaderBytes total size of all header fields
      * @param maxBodyBytes   longest body
-     * @param maxConnections connections open at once
-     * @param readTimeout    from the first byte of a request to its last
+     * @param maxConnections most open connections
+     * @param readTimeout    longest time from the first byte of a request to its last
      */
     public HttpLimits(
             int maxLineBytes, int maxHeaderBytes, int maxBodyBytes, int maxConnections, Duration readTimeout) {
@@ -58,7 +58,7 @@
     }
 
     /**
-     * Returns these limits with another bound on bodies.
+     * Returns a copy with another limit for the body.
      *
      * @param bytes longest body
      * @return new limits
--- a/library/src/main/java/org/copperspindle/http/HttpListener.java
+++ b/library/src/main/java/org/copperspindle/http/HttpListener.java
@@ -31,13 +31,13 @@
 import org.copperspindle.verdict.NotRunVerdict;
 
 /**
- * Listens for HTTP/1.1 requests. Stops in steps: {@link #announceStop}, {@link #stopAccepting}, {@link #drain},
- * {@link #close}.
+ * Server for HTTP/1.1 requests. A graceful shutdown calls, in this order, {@link #announceStop},
+ * {@link #stopAccepting}, {@link #drain} and {@link #close}.
  */
 public final class HttpListener implements AutoCloseable {
 
     private static final Logger LOGGER = LogManager.getLogger(HttpListener.class);
-    private static final int FLUSH_AFTER = 64;
+    private static final int MAX_WRITES_BEFORE_FLUSH = 64;
     private static final long DRAIN_CHECK_NANOS = Duration.ofMillis(5).toNanos();
 
     private final EventLoopGroup group;
@@ -46,16 +46,16 @@
     private final Supplier<HttpLimits> limits;
     private final HttpRequestHandler handler;
     private final HttpCounters counters = new HttpCounters();
-    private final ChannelGroup open = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
+    private final ChannelGroup openChannels = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
     private volatile boolean stopping;
 
     /**
      * Binds and starts to listen.
      *
-     * @param address address to bind; port 0 takes a free one
+     * @param address address to bind; port 0 picks a free port
      * @param threads network threads
-     * @param limits  bounds on requests
-     * @param handler answers requests
+     * @param limits  limits on requests and connections
+     * @param handler handles requests
      */
     public HttpListener(InetSocketAddress address, int threads, HttpLimits limits, HttpRequestHandler handler) {
         this("http", address, threads, limits, handler);
@@ -65,10 +65,10 @@
      * Binds and starts to listen.
      *
      * @param name    name of the network threads
-     * @param address address to bind; port 0 takes a free one
+     * @param address address to bind; port 0 picks a free port
      * @param threads network threads
-     * @param limits  bounds on requests
-     * @param handler answers requests
+     * @param limits  limits on requests and connections
+     * @param handler handles requests
      */
     public HttpListener(
             String name, InetSocketAddress address, int threads, HttpLimits limits, HttpRequestHandler handler) {
@@ -82,12 +82,12 @@
     }
 
     /**
-     * Binds and starts to listen on the network threads of the process.
+     * Binds and starts to listen on existing network threads.
      *
-     * @param group   network threads, which stay open when the listener is closed
-     * @param address address to bind; port 0 takes a free one
-     * @param limits  bounds on requests, asked for at each new connection
-     * @param handler answers requests
+     * @param group   network threads; they keep running when the listener is closed
+     * @param address address to bind; port 0 picks a free port
+     * @param limits  supplies the limits of each new connection
+     * @param handler handles requests
      */
     public HttpListener(
             EventLoopGroup group, InetSocketAddress address, Supplier<HttpLimits> limits, HttpRequestHandler handler) {
@@ -118,14 +118,14 @@
     /**
      * Returns the bound address.
      *
-     * @return with the port that was taken
+     * @return the address with the actual port
      */
     public InetSocketAddress address() {
         return (InetSocketAddress) channel.localAddress();
     }
 
     /**
-     * Returns what was counted.
+     * Returns the counters.
      *
      * @return counters of this listener
      */
@@ -133,16 +133,16 @@
         return counters;
     }
 
-    /** Ends each connection with its next answer from now on; new connections are still taken. */
+    /** Closes each connection after its next response from now on; new connections are still accepted. */
     public void announceStop() {
         stopping = true;
     }
 
-    /** Takes no more connections, and closes those that no request has begun on. */
+    /** Stops accepting connections and closes those without a request in progress. */
     public void stopAccepting() {
         stopping = true;
         channel.close();
-        open.forEach(accepted -> accepted.eventLoop().execute(() -> {
+        openChannels.forEach(accepted -> accepted.eventLoop().execute(() -> {
             HttpConnectionHandler connection = accepted.pipeline().get(HttpConnectionHandler.class);
             if (connection != null) {
                 connection.closeIfIdle();
@@ -151,14 +151,14 @@
     }
 
     /**
-     * Waits without blocking until every answer has been written out to its caller.
+     * Waits, without blocking, until every response has been written to its caller.
      *
-     * @param bound longest wait, for callers that don't read
-     * @param done  run on a network thread
+     * @param bound longest wait, as callers may not read
+     * @param done  called on a network thread when all responses are written or the time is up
      */
     public void drain(Duration bound, Runnable done) {
         long end = System.nanoTime() + bound.toNanos();
-        group.execute(() -> awaitAnswers(end, done));
+        group.execute(() -> awaitResponses(end, done));
     }
 
     @Override
@@ -169,14 +169,14 @@
         }
     }
 
-    private void awaitAnswers(long end, Runnable done) {
-        int left = counters.inProgress();
-        if (left > 0 && System.nanoTime() < end) {
-            group.schedule(() -> awaitAnswers(end, done), DRAIN_CHECK_NANOS, TimeUnit.NANOSECONDS);
+    private void awaitResponses(long end, Runnable done) {
+        int inProgress = counters.inProgress();
+        if (inProgress > 0 && System.nanoTime() < end) {
+            group.schedule(() -> awaitResponses(end, done), DRAIN_CHECK_NANOS, TimeUnit.NANOSECONDS);
             return;
         }
-        if (left > 0) {
-            LOGGER.warn("event=answers-unread count={}", left);
+        if (inProgress > 0) {
+            LOGGER.warn("event=answers-unread count={}", inProgress);
         }
         done.run();
     }
@@ -195,10 +195,10 @@
                 accepted.eventLoop().execute(() -> refuse(accepted));
                 return;
             }
-            open.add(accepted);
+            openChannels.add(accepted);
             accepted.pipeline()
-                    // Pieces that arrive in one go leave in one system call.
-                    .addLast(new FlushConsolidationHandler(FLUSH_AFTER, true))
+                    // Parts of responses that are written together are sent with one system call.
+                    .addLast(new FlushConsolidationHandler(MAX_WRITES_BEFORE_FLUSH, true))
                     .addLast(new StrictRequestDecoder(current))
                     .addLast(new HttpResponseEncoder())
                     .addLast(new HttpConnectionHandler(current, counters, handler, () -> stopping));
--- a/library/src/main/java/org/copperspindle/http/HttpRequestHandler.java
+++ b/library/src/main/java/org/copperspindle/http/HttpRequestHandler.java
@@ -1,15 +1,15 @@
 package org.copperspindle.http;
 
 /**
- * Answers requests. Called on network threads; must not block.
+ * Handles HTTP requests. Called on network threads; must not block.
  */
 @FunctionalInterface
 public interface HttpRequestHandler {
 
     /**
-     * Takes a whole request; the answer may follow later, from any thread.
+     * Handles a complete request. The response may be sent later, from any thread.
      *
-     * @param exchange the request and the way to answer it
+     * @param exchange the request, through which the response is sent
      */
     void handle(HttpExchange exchange);
 }
--- a/library/src/main/java/org/copperspindle/http/ProblemDetails.java
+++ b/library/src/main/java/org/copperspindle/http/ProblemDetails.java
@@ -14,13 +14,14 @@
 import org.copperspindle.verdict.Verdict;
 
 /**
- * An error as callers see it: problem details (RFC 9457) that also say whether the request may have run.
+ * An error response in the problem details format (RFC 9457), extended by a verdict on whether the request may have
+ * run.
  *
  * @param status     HTTP status
- * @param title      short text for people
- * @param verdict    whether the request may have run; its reason names the type of the problem
- * @param requestId  identity of the request, empty if it was given none
- * @param retryAfter when a retry has better prospects
+ * @param title      short text for a human reader
+ * @param verdict    whether the request may have run; its reason determines the problem type
+ * @param requestId  id of the request, empty if it has none
+ * @param retryAfter time after which the caller should retry
  */
 public record ProblemDetails(
         int status, String title, Verdict verdict, String requestId, Optional<Duration> retryAfter) {
@@ -31,21 +32,21 @@
     /** Header field of the verdict. */
     public static final String VERDICT_HEADER = "Copperspindle-Verdict";
 
-    /** Header field of the request's identity. */
+    /** Header field of the request id. */
     public static final String REQUEST_ID_HEADER = "Copperspindle-Request-Id";
 
-    /** What the type URIs start with; the reason follows. */
+    /** Prefix of the type URIs; the reason follows. */
     public static final String TYPE_PREFIX = "urn:copperspindle:problem:";
 
     private static final int UNAUTHORIZED = 401;
     private static final int INTERNAL_ERROR = 500;
 
     /**
-     * Describes a request that was refused before anything of it ran.
+     * Creates the problem for a request that was refused before any part of it ran.
      *
      * @param reason stable name of the problem, in lower case with hyphens
      * @param status HTTP status
-     * @param title  short text for people
+     * @param title  short text for a human reader
      * @return the details
      */
     public static ProblemDetails notRun(String reason, int status, String title) {
@@ -53,9 +54,9 @@
     }
 
     /**
-     * Describes an unexpected failure of this process.
+     * Creates the problem for an unexpected failure of this process.
      *
-     * @return the details; nothing is known about whether the request ran
+     * @return the details, with a verdict that the request may have run
      */
     static ProblemDetails internalError() {
         return new ProblemDetails(
@@ -82,9 +83,9 @@
     }
 
     /**
-     * Returns the URI of the kind of problem.
+     * Returns the problem type URI.
      *
-     * @return stable, whatever the reason contains
+     * @return a valid URI, whatever characters the reason contains
      */
     public String type() {
         String name = verdict.reason().toLowerCase(Locale.ROOT).replaceAll("[^a-z0-9-]+", "-");
--- a/library/src/main/java/org/copperspindle/http/ReceivedRequest.java
+++ b/library/src/main/java/org/copperspindle/http/ReceivedRequest.java
@@ -3,23 +3,23 @@
 import io.netty.handler.codec.http.HttpRequest;
 
 /**
- * What a connection's bytes turned out to be.
+ * Result of assembling a request from the bytes of a connection.
  */
 sealed interface ReceivedRequest {
 
     /**
-     * A whole request.
+     * A complete and valid request.
      *
      * @param head request line and header fields
-     * @param body whole body
+     * @param body complete body
      */
     record Whole(HttpRequest head, byte[] body) implements ReceivedRequest {}
 
     /**
-     * Bytes that are refused. Where the next request would begin is not known, so that the connection ends with the
-     * answer.
+     * A refused request. It isn't known where the next request would begin, so the connection closes after the
+     * response.
      *
-     * @param problem the answer
+     * @param problem the response
      */
     record Refused(ProblemDetails problem) implements ReceivedRequest {}
 }
--- a/library/src/main/java/org/copperspindle/http/RequestAssembler.java
+++ b/library/src/main/java/org/copperspindle/http/RequestAssembler.java
@@ -17,67 +17,67 @@
 import io.netty.handler.codec.http.TooLongHttpLineException;
 
 /**
- * Puts the parts of one connection's requests together and judges their form. The connection must not offer more parts
- * once one was refused.
+ * Assembles the requests of one connection from the parts that Netty decodes, and validates them. No more parts may
+ * be passed after one was refused.
  */
 final class RequestAssembler {
 
     private final int maxBodyBytes;
     private Optional<HttpRequest> head = Optional.empty();
     private ByteArrayOutputStream body = new ByteArrayOutputStream(0);
-    private boolean awaitsContinue;
+    private boolean continueExpected;
 
     RequestAssembler(int maxBodyBytes) {
         this.maxBodyBytes = maxBodyBytes;
     }
 
     /**
-     * Takes the next part.
+     * Accepts the next part.
      *
-     * @param part decoded by Netty; not released here
-     * @return the request once it is whole or refused
+     * @param part part decoded by Netty; not released here
+     * @return the request once it is complete or refused
      */
     Optional<ReceivedRequest> accept(HttpObject part) {
         if (part.decoderResult().isFailure()) {
             return refused(problem(part.decoderResult().cause()));
         }
         if (part instanceof HttpRequest request) {
-            Optional<ProblemDetails> problem = judge(request);
+            Optional<ProblemDetails> problem = validate(request);
             if (problem.isPresent()) {
                 return refused(problem.get());
             }
             head = Optional.of(request);
             body = new ByteArrayOutputStream((int) HttpUtil.getContentLength(request, 0L));
-            awaitsContinue = request.headers().contains(HttpHeaderNames.EXPECT);
+            continueExpected = request.headers().contains(HttpHeaderNames.EXPECT);
         }
         return part instanceof HttpContent content ? append(content) : Optional.empty();
     }
 
     /**
-     * Says, once for each request, whether the caller waits to be told to send the body.
+     * Returns, once for each request, whether the caller waits for {@code 100 Continue} before it sends the body.
      *
-     * @return true if it must be told now
+     * @return true if {@code 100 Continue} must be sent now
      */
-    boolean takeContinue() {
-        boolean wanted = awaitsContinue;
-        awaitsContinue = false;
-        return wanted;
+    boolean pollContinueExpected() {
+        boolean expected = continueExpected;
+        continueExpected = false;
+        return expected;
     }
 
     /**
-     * Says whether a request has arrived in part.
+     * Returns whether no request has been partly received.
      *
-     * @return false between requests
+     * @return true between requests
      */
-    boolean isBetweenRequests() {
+    boolean isIdle() {
         return head.isEmpty();
     }
 
     /**
-     * Describes bytes that are not a request.
+     * Returns the problem for bytes that are not a valid request.
      *
-     * @param cause what the decoder met
-     * @return the answer
+     * @param cause the decoder's exception
+     * @return the problem
      */
     static ProblemDetails problem(Throwable cause) {
         if (cause instanceof TooLongHttpLineException) {
@@ -90,8 +90,8 @@
     }
 
     private Optional<ReceivedRequest> append(HttpContent content) {
-        // What the caller sends without waiting for the answer to its question needs no answer.
-        awaitsContinue &= !content.content().isReadable();
+        // A caller that sends the body without waiting for 100 Continue needs none.
+        continueExpected &= !content.content().isReadable();
         if (body.size() + content.content().readableBytes() > maxBodyBytes) {
             return refused(tooLarge());
         }
@@ -102,7 +102,7 @@
                             body,
                             content.content().readableBytes());
         } catch (IOException e) {
-            throw new IllegalStateException("memory takes every byte", e);
+            throw new IllegalStateException("write to a byte array failed", e);
         }
         if (!(content instanceof LastHttpContent)) {
             return Optional.empty();
@@ -113,12 +113,12 @@
         return Optional.of(whole);
     }
 
-    private Optional<ProblemDetails> judge(HttpRequest request) {
-        boolean old = request.protocolVersion().equals(HttpVersion.HTTP_1_0);
-        if (!old && !request.protocolVersion().equals(HttpVersion.HTTP_1_1)) {
+    private Optional<ProblemDetails> validate(HttpRequest request) {
+        boolean http10 = request.protocolVersion().equals(HttpVersion.HTTP_1_0);
+        if (!http10 && !request.protocolVersion().equals(HttpVersion.HTTP_1_1)) {
             return Optional.of(ProblemDetails.notRun("http-version", 505, "only versions 1.1 and 1.0 are spoken"));
         }
-        if (!hasSoundFraming(request, old) || !hasSoundTarget(request, old)) {
+        if (!hasValidFraming(request, http10) || !hasValidTarget(request, http10)) {
             return Optional.of(problem(new IllegalArgumentException()));
         }
         if (HttpUtil.getContentLength(request, 0L) > maxBodyBytes) {
@@ -131,21 +131,22 @@
         return Optional.empty();
     }
 
-    private static boolean hasSoundFraming(HttpRequest request, boolean old) {
+    private static boolean hasValidFraming(HttpRequest request, boolean http10) {
         List<String> codings = request.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
         if (codings.isEmpty()) {
             return request.headers().getAll(HttpHeaderNames.CONTENT_LENGTH).size() <= 1;
         }
-        // Any other coding, or one in HTTP/1.0, is read differently by different servers: request smuggling.
-        return !old
+        // Servers differ in how they read any other coding, or any coding in HTTP/1.0, which allows request
+        // smuggling.
+        return !http10
                 && codings.size() == 1
                 && HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0))
                 && !request.headers().contains(HttpHeaderNames.CONTENT_LENGTH);
     }
 
-    private static boolean hasSoundTarget(HttpRequest request, boolean old) {
+    private static boolean hasValidTarget(HttpRequest request, boolean http10) {
         int hosts = request.headers().getAll(HttpHeaderNames.HOST).size();
-        if (hosts > 1 || hosts == 0 && !old) {
+        if (hosts > 1 || hosts == 0 && !http10) {
             return false;
         }
         return RequestTarget.parse(request.uri()).isPresent();
--- a/library/src/main/java/org/copperspindle/http/RequestTarget.java
+++ b/library/src/main/java/org/copperspindle/http/RequestTarget.java
@@ -9,7 +9,8 @@
 import io.netty.handler.codec.http.QueryStringDecoder;
 
 /**
- * The target of a request (RFC 9112, 3.2), in origin or absolute form. Other forms name nothing that is served here.
+ * A request target (RFC 9112, 3.2) in origin or absolute form. Other forms are not supported, because nothing here
+ * is served under them.
  *
  * @param path       decoded path
  * @param parameters decoded query
@@ -24,8 +25,8 @@
     /**
      * Parses a target.
      *
-     * @param text from the request line
-     * @return the target, empty if it has another form or a bad escape
+     * @param text target as sent in the request line
+     * @return the target, empty if it has another form or an invalid percent escape
      */
     static Optional<RequestTarget> parse(String text) {
         Matcher absolute = ABSOLUTE.matcher(text);
--- a/library/src/main/java/org/copperspindle/http/StrictRequestDecoder.java
+++ b/library/src/main/java/org/copperspindle/http/StrictRequestDecoder.java
@@ -13,9 +13,9 @@
 import io.netty.handler.codec.http.LastHttpContent;
 
 /**
- * Netty's decoder without the leniency that lets a balancer in front and this process see different requests in the
- * same bytes: a message with both a length and a transfer coding, and folded header lines (RFC 9112, 5.2 and 6.1), are
- * refused. Says when the first byte of a request arrives.
+ * Strict variant of Netty's request decoder. It refuses messages that a load balancer in front and this process
+ * could parse differently: those with both Content-Length and Transfer-Encoding, and those with folded header lines
+ * (RFC 9112, 5.2 and 6.1). Fires an event when the first byte of a request arrives.
  */
 final class StrictRequestDecoder extends HttpRequestDecoder {
 
@@ -25,7 +25,7 @@
     private static final byte LINE_FEED = '\n';
 
     private boolean inHead = true;
-    private boolean started;
+    private boolean requestStarted;
     private boolean refused;
 
     StrictRequestDecoder(HttpLimits limits) {
@@ -42,8 +42,8 @@
             buffer.skipBytes(buffer.readableBytes());
             return;
         }
-        if (inHead && !started) {
-            started = true;
+        if (inHead && !requestStarted) {
+            requestStarted = true;
             ctx.fireUserEventTriggered(REQUEST_STARTED);
         }
         if (inHead && isFolded(buffer)) {
@@ -53,7 +53,7 @@
         int before = out.size();
         super.decode(ctx, buffer, out);
         for (Object part : out.subList(before, out.size())) {
-            follow(part);
+            updateState(part);
         }
     }
 
@@ -62,17 +62,20 @@
         throw new IllegalArgumentException("both Content-Length and Transfer-Encoding");
     }
 
-    private void follow(Object part) {
+    private void updateState(Object part) {
         if (part instanceof HttpRequest) {
             inHead = false;
         }
         if (part instanceof LastHttpContent) {
             inHead = true;
-            started = false;
+            requestStarted = false;
         }
     }
 
-    /** Looks at the lines up to the blank one; the decoder takes whole lines, so that the buffer starts at a line. */
+    /**
+     * Checks the header lines up to the blank line for leading whitespace. The decoder consumes whole lines, so the
+     * buffer starts at the beginning of a line.
+     */
     private static boolean isFolded(ByteBuf buffer) {
         int start = buffer.readerIndex();
         int end = buffer.writerIndex();
@@ -82,13 +85,13 @@
             if (first == ' ' || first == '\t') {
                 return true;
             }
-            int feed = ByteBufUtil.indexOf(buffer, start, end, LINE_FEED);
-            boolean blank = feed == start || feed == start + 1 && first == '\r';
-            if (feed < 0 || blank && lineSeen) {
+            int lineFeed = ByteBufUtil.indexOf(buffer, start, end, LINE_FEED);
+            boolean blank = lineFeed == start || lineFeed == start + 1 && first == '\r';
+            if (lineFeed < 0 || blank && lineSeen) {
                 return false;
             }
             lineSeen |= !blank;
-            start = feed + 1;
+            start = lineFeed + 1;
         }
         return false;
     }
--- a/library/src/main/java/org/copperspindle/http/package-info.java
+++ b/library/src/main/java/org/copperspindle/http/package-info.java
@@ -1,4 +1,4 @@
 /**
- * HTTP listener on Netty's codec, shared by the entry's and the control member's doors.
+ * HTTP/1.1 listener on Netty's codec, shared by the HTTP endpoints of all roles.
  */
 package org.copperspindle.http;
--- a/library/src/test/java/org/copperspindle/daemon/CallerInterfaceTest.java
+++ b/library/src/test/java/org/copperspindle/daemon/CallerInterfaceTest.java
@@ -29,12 +29,12 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * What callers, probes and scrapers see at the doors of a process that control has not let serve.
+ * Tests the HTTP endpoints of a process that has not got a lease from control and therefore doesn't serve requests.
  */
 class CallerInterfaceTest {
 
     private static final InetSocketAddress ANY = new InetSocketAddress("127.0.0.1", 0);
-    private static final InetSocketAddress NOBODY = new InetSocketAddress("127.0.0.1", 1);
+    private static final InetSocketAddress UNREACHABLE = new InetSocketAddress("127.0.0.1", 1);
     private static final String SECRET = "s3cret-bearer";
 
     private static CopperspindleProcess process;
@@ -47,7 +47,7 @@
                 "entry-1",
                 "north",
                 ANY,
-                List.of(NOBODY),
+                List.of(UNREACHABLE),
                 Optional.of(entry),
                 Optional.empty(),
                 Optional.empty(),
@@ -94,9 +94,9 @@
     }
 
     /**
-     * A caller resends its key with another field than the first time, which the entry refuses. The first arrival may have
-     * run, so NOT_RUN would make the caller take a new key and run the work twice. A body that no entry ever takes on can't
-     * have run.
+     * A caller resends an idempotency key with a header field that the entry refuses. The first request with the key
+     * may have run; NOT_RUN would let the caller retry with a new key and run the work twice. A body that no entry
+     * accepts can't have run.
      */
     @ParameterizedTest
     @CsvSource(
@@ -122,18 +122,18 @@
     }
 
     @Test
-    void everyDoorHasProbesAndMetrics() throws Exception {
-        for (Optional<InetSocketAddress> door : List.of(process.callerAddress(), process.metricsAddress())) {
-            assertThat(send(HttpRequest.newBuilder(uri(door, "/livez"))).statusCode())
+    void everyEndpointHasProbesAndMetrics() throws Exception {
+        for (Optional<InetSocketAddress> endpoint : List.of(process.callerAddress(), process.metricsAddress())) {
+            assertThat(send(HttpRequest.newBuilder(uri(endpoint, "/livez"))).statusCode())
                     .isEqualTo(200);
-            assertThat(send(HttpRequest.newBuilder(uri(door, "/readyz"))).statusCode())
+            assertThat(send(HttpRequest.newBuilder(uri(endpoint, "/readyz"))).statusCode())
                     .isEqualTo(503);
-            assertThat(send(HttpRequest.newBuilder(uri(door, "/metrics"))).body())
+            assertThat(send(HttpRequest.newBuilder(uri(endpoint, "/metrics"))).body())
                     .contains("copperspindle_ready 0.0", "copperspindle_lease_held 0.0", "copperspindle_ring_depth");
         }
     }
 
-    /** A caller's key must not reach a log file that more people can read than may use the account. */
+    /** A caller's API key must not get into a log file, which more people can read than may use the account. */
     @Test
     void bearerIsNeverLogged() throws Exception {
         Queue<String> lines = new ConcurrentLinkedQueue<>();
--- a/library/src/test/java/org/copperspindle/daemon/ProcessSettingsTest.java
+++ b/library/src/test/java/org/copperspindle/daemon/ProcessSettingsTest.java
@@ -47,7 +47,7 @@
                 "[process]                 | x = 1~[process]         | f.ini: keys outside any section",
                 "[process]                 | [other]                  | f.ini: [process]: section missing"
             })
-    void eachFaultIsNamed(String from, String to, String expected) {
+    void eachProblemIsReported(String from, String to, String expected) {
         String text = VALID.replace(from, to == null ? "" : to.replace('~', '\n'));
         assertThat(text).isNotEqualTo(VALID);
 
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void allFaultsAreNamedAtOnce() {
+    void allProblemsAreReportedTogether() {
         String text = VALID.replace("7400", "x").replace("1MiB", "big").replace("10s", "soon") + "colour = red\n";
 
         SettingsException failure = catchThrowableOfType(
@@ -68,7 +68,10 @@
         assertThat(failure.getMessage().lines()).hasSize(4).allMatch(line -> line.startsWith("f.ini: ["));
     }
 
-    /** 5,000 damaged files (seed 5) are read or refused with the faults; nothing else comes out, and nothing hangs. */
+    /**
+     * Each of 5,000 damaged files (seed 5) is read, or refused with a list of its problems; no other exception and
+     * no hang.
+     */
     @Test
     void damagedFilesAreReadOrRefused() {
         Random random = new Random(5);
--- a/library/src/test/java/org/copperspindle/http/HttpListenerTest.java
+++ b/library/src/test/java/org/copperspindle/http/HttpListenerTest.java
@@ -90,9 +90,9 @@
     }
 
     /**
-     * A caller, or something between it and this process, sends bytes that two servers could read as different
-     * requests, or that are no request. It gets one problem with verdict NOT_RUN and the end of its connection; what it
-     * sent behind is not taken for a request, and another caller's connection goes on.
+     * A caller or a proxy sends bytes that are no request or that two servers could parse as different requests. It
+     * must get one problem with verdict NOT_RUN and its connection must close; bytes behind the refused ones must
+     * not count as a request, and another caller's connection must keep working.
      */
     @ParameterizedTest(name = "{0}")
     @MethodSource("refusedRequests")
@@ -143,9 +143,12 @@
         }
     }
 
-    /** The question whether to send a body waits behind an unanswered request, whose caller would misread the answer. */
+    /**
+     * 100 Continue for a pipelined request must wait for the response to the request before it; the caller would
+     * take it for that response.
+     */
     @Test
-    void continueIsSaidInOrder() throws Exception {
+    void continueIsSentInOrder() throws Exception {
         listen(LIMITS, held::add);
         try (RawCaller caller = new RawCaller(listener.address())) {
             caller.send(GET.formatted("1") + POST + "Expect: 100-continue\r\nContent-Length: 3\r\n\r\n");
@@ -161,7 +164,7 @@
         }
     }
 
-    /** 300 requests arrive in one piece and are answered by four other threads: each answer in its place, none mixed. */
+    /** 300 pipelined requests are answered by four other threads. The responses must arrive in order and unmixed. */
     @Test
     void pipelinedRequestsAreAnsweredInOrder() throws Exception {
         listen(LIMITS, exchange -> others.execute(() -> echo(exchange)));
@@ -178,35 +181,37 @@
     }
 
     /**
-     * The caller goes while its answer is pending. The handler is told once, and what it sends afterwards, whole, in
-     * pieces and doubled, is counted and harms nobody.
+     * The caller disconnects while its response is pending. The close listener must be called once; responses and
+     * chunks sent afterwards are counted and dropped.
      */
     @Test
-    void goneCallerIsToldOnceAndLateAnswersAreHarmless() throws Exception {
+    void closeListenerIsCalledOnceAndLateResponsesAreDropped() throws Exception {
         listen(LIMITS, held::add);
-        AtomicInteger told = new AtomicInteger();
+        AtomicInteger notifications = new AtomicInteger();
         RawCaller caller = new RawCaller(listener.address());
         caller.send(GET.formatted("1"));
         await(() -> held.size() == 1);
         HttpExchange exchange = held.poll();
-        exchange.onClosed(told::incrementAndGet);
+        exchange.onClosed(notifications::incrementAndGet);
         caller.close();
-        await(() -> told.get() == 1);
+        await(() -> notifications.get() == 1);
 
         echo(exchange);
         exchange.start("text/plain", Map.of());
         assertThat(exchange.write("late")).isFalse();
         exchange.finish();
 
-        AtomicInteger toldLater = new AtomicInteger();
-        exchange.onClosed(toldLater::incrementAndGet);
-        assertThat(toldLater).hasValue(1);
-        assertThat(told).hasValue(1);
-        assertThat(listener.counters().lateAnswers()).isEqualTo(4);
+        AtomicInteger laterNotifications = new AtomicInteger();
+        exchange.onClosed(laterNotifications::incrementAndGet);
+        assertThat(laterNotifications).hasValue(1);
+        assertThat(notifications).hasValue(1);
+        assertThat(listener.counters().lateResponses()).isEqualTo(4);
         await(() -> listener.counters().inProgress() == 0 && listener.counters().connections() == 0);
     }
 
-    /** Four threads answer the same exchange at once: the caller gets one answer, and the next request its own. */
+    /**
+     * Four threads answer the same exchange at once. The caller must get one response, and the next request its own.
+     */
     @Test
     void exchangeIsAnsweredOnce() throws Exception {
         listen(LIMITS, held::add);
@@ -226,7 +231,7 @@
                 assertThat(caller.readUntil("GET /echo/" + round + " ")).containsOnlyOnce("HTTP/1.1 200");
             }
         }
-        assertThat(listener.counters().lateAnswers()).isEqualTo(150);
+        assertThat(listener.counters().lateResponses()).isEqualTo(150);
     }
 
     @ParameterizedTest
@@ -249,13 +254,13 @@
     }
 
     /**
-     * A caller drips a request byte by byte, so that no silence is ever long. The bound is on the whole request: it is
-     * refused, or thousands of such callers would hold all connections for ever.
+     * A caller sends its request byte by byte, with short gaps. The timeout covers the whole request; otherwise a
+     * few thousand such callers could hold all connections forever.
      */
     @ParameterizedTest
     @CsvSource({"'GET /echo HTTP/1.1\r\nA: '", "'POST /echo HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n'"
     })
-    void slowSenderIsCutOff(String start) throws Exception {
+    void slowSenderIsRefused(String start) throws Exception {
         listen(new HttpLimits(256, 1 << 30, 1 << 30, 100, SHORT, LONG, LONG, 1024), HttpListenerTest::echo);
         try (RawCaller caller = new RawCaller(listener.address())) {
             caller.send(start);
@@ -300,38 +305,39 @@
     }
 
     /**
-     * A caller takes nothing of a long answer in pieces. The sender sees it become unwritable, and at the bound the
-     * connection ends as broken: the process holds no more than the bound, and the handler is told once.
+     * A caller reads nothing of a long chunked response. At the limit of pending bytes the connection must be closed
+     * without the end of the response; pending bytes must never exceed the limit, and the close listener is called
+     * once.
      */
     @Test
-    void slowReaderHoldsBoundedMemory() throws Exception {
+    void pendingBytesOfSlowReaderAreBounded() throws Exception {
         listen(LIMITS, held::add);
-        AtomicInteger told = new AtomicInteger();
+        AtomicInteger notifications = new AtomicInteger();
         try (RawCaller caller = new RawCaller(listener.address())) {
             caller.send(GET.formatted("1"));
             await(() -> held.size() == 1);
             HttpExchange exchange = held.poll();
-            exchange.onClosed(told::incrementAndGet);
+            exchange.onClosed(notifications::incrementAndGet);
             exchange.start("text/event-stream", Map.of());
-            String piece = "a".repeat(1024);
+            String chunk = "a".repeat(1024);
             long most = 0;
-            int pieces = 0;
-            while (pieces < 1_000_000 && exchange.write(piece)) {
+            int chunks = 0;
+            while (chunks < 1_000_000 && exchange.write(chunk)) {
                 most = Math.max(most, exchange.pendingBytes());
-                pieces++;
+                chunks++;
             }
-            assertThat(pieces).isLessThan(1_000_000);
+            assertThat(chunks).isLessThan(1_000_000);
             assertThat(most).isLessThanOrEqualTo(LIMITS.maxPendingBytes());
-            await(() -> told.get() == 1);
+            await(() -> notifications.get() == 1);
             assertThat(caller.readToEnd()).doesNotContain("0\r\n\r\n");
         }
         assertThat(listener.counters().slowReaders()).isEqualTo(1);
-        assertThat(told).hasValue(1);
+        assertThat(notifications).hasValue(1);
     }
 
-    /** An answer that nobody reads holds its connection no longer than the bound. */
+    /** A response that isn't read must not hold its connection longer than the write timeout. */
     @Test
-    void unreadAnswerIsGivenUp() throws Exception {
+    void connectionWithUnreadResponseIsClosed() throws Exception {
         byte[] large = new byte[32 << 20];
         listen(
                 new HttpLimits(256, 1024, 64, 100, LONG, LONG, SHORT, 1024),
@@ -344,11 +350,12 @@
     }
 
     /**
-     * A planned stop while an answer is pending and another connection is idle. The idle one is closed, new ones are
-     * refused, the pending answer arrives whole and says that the connection ends, and only then is the drain done.
+     * A graceful stop while a response is pending and another connection is idle. The idle connection is closed, new
+     * ones are refused, the pending response arrives complete with Connection: close, and only then is the drain
+     * done.
      */
     @Test
-    void stopFinishesAnswersInProgress() throws Exception {
+    void stopCompletesPendingResponses() throws Exception {
         listen(LIMITS, exchange -> {
             if (exchange.path().endsWith("slow")) {
                 held.add(exchange);
@@ -381,18 +388,18 @@
             assertThat(drained.getCount()).isEqualTo(1);
             echo(held.poll());
             assertThat(drained.await(20, TimeUnit.SECONDS)).isTrue();
-            // The process ends here: what was written must have left already.
+            // The process ends here: all responses must have been sent already.
             listener.close();
             assertThat(busy.readToEnd()).contains("connection: close").endsWith("GET /echo/slow ");
         }
     }
 
     /**
-     * 400 callers send damaged or random requests (seed 3), some leave in the middle. None hangs the listener, none
-     * leaves a connection or an open exchange behind, and a good caller is served in between.
+     * 400 callers send damaged requests (seed 3), and some disconnect in the middle. None may block the listener or
+     * leave an open connection or exchange behind, and a valid caller must be served in between.
      */
     @Test
-    void randomBytesDisturbNobody() throws Exception {
+    void damagedRequestsDoNotAffectOtherCallers() throws Exception {
         Queue<RuntimeException> failures = new ConcurrentLinkedQueue<>();
         listen(LIMITS, exchange -> {
             try {
@@ -421,7 +428,7 @@
         await(() ->
                 listener.counters().connections() == 0 && listener.counters().inProgress() == 0);
         assertThat(listener.counters().refusedRequests()).isPositive();
-        // By itself the count below does not say which failure it was.
+        // Checked first because the count below doesn't show which failure it was.
         assertThat(failures).isEmpty();
         assertThat(listener.counters().handlerFailures()).isZero();
     }
--- a/library/src/test/java/org/copperspindle/http/RawCaller.java
+++ b/library/src/test/java/org/copperspindle/http/RawCaller.java
@@ -8,17 +8,17 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A caller that sends the bytes it is told to.
+ * A test client that sends raw bytes.
  */
 final class RawCaller implements AutoCloseable {
 
-    private static final int PATIENCE_MILLIS = 20_000;
+    private static final int READ_TIMEOUT_MILLIS = 20_000;
 
     private final Socket socket;
 
     RawCaller(InetSocketAddress address) throws IOException {
         socket = new Socket(address.getAddress(), address.getPort());
-        socket.setSoTimeout(PATIENCE_MILLIS);
+        socket.setSoTimeout(READ_TIMEOUT_MILLIS);
     }
 
     RawCaller send(String text) throws IOException {
@@ -30,7 +30,7 @@
         return this;
     }
 
-    /** Reads until the text has come; fails at the end of the connection. */
+    /** Reads until the received text ends with the given one; fails if the connection closes first. */
     String readUntil(String text) throws IOException {
         ByteArrayOutputStream read = new ByteArrayOutputStream();
         while (!read.toString(StandardCharsets.ISO_8859_1).endsWith(text)) {
@@ -43,7 +43,7 @@
         return read.toString(StandardCharsets.ISO_8859_1);
     }
 
-    /** Reads until the other side closes. */
+    /** Reads until the server closes the connection. */
     String readToEnd() throws IOException {
         ByteArrayOutputStream read = new ByteArrayOutputStream();
         try {
