--- a/library/src/main/java/org/copperspindle/core/BackgroundThread.java
+++ b/library/src/main/java/org/copperspindle/core/BackgroundThread.java
@@ -5,7 +5,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One thread for work that is too long for the decision ring and the network threads. It ends when it is idle.
+ * Creates single-thread executors for work that takes too long for the decision ring and the network threads. The
+ * thread ends when it is idle.
  */
 public final class BackgroundThread {
 
@@ -14,16 +15,16 @@
     private BackgroundThread() {}
 
     /**
-     * Creates the executor of such a thread.
+     * Creates an executor with one background thread.
      *
-     * @param name    name of the thread
-     * @param waiting most tasks that may wait; one more is rejected with
-     *                {@link java.util.concurrent.RejectedExecutionException}
+     * @param name          name of the thread
+     * @param queueCapacity most tasks that may be queued; a further one is rejected with
+     *                      {@link java.util.concurrent.RejectedExecutionException}
      * @return the executor
      */
-    public static ThreadPoolExecutor create(String name, int waiting) {
+    public static ThreadPoolExecutor create(String name, int queueCapacity) {
         ThreadPoolExecutor executor = new ThreadPoolExecutor(
-                1, 1, IDLE_SECONDS, TimeUnit.SECONDS, new ArrayBlockingQueue<>(waiting), task -> {
+                1, 1, IDLE_SECONDS, TimeUnit.SECONDS, new ArrayBlockingQueue<>(queueCapacity), task -> {
                     Thread thread = new Thread(task, name);
                     thread.setDaemon(true);
                     return thread;
--- a/library/src/main/java/org/copperspindle/core/DecisionQueue.java
+++ b/library/src/main/java/org/copperspindle/core/DecisionQueue.java
@@ -1,15 +1,15 @@
 package org.copperspindle.core;
 
 /**
- * Takes tasks for the thread that owns decision state. Tests in virtual time run them in place.
+ * Accepts tasks for the thread that owns the decision state. Tests in virtual time run them immediately.
  */
 public interface DecisionQueue {
 
     /**
-     * Hands over a task without waiting.
+     * Queues a task without blocking.
      *
-     * @param task what to run on the decision thread
-     * @return false if the queue is full and the task was not taken
+     * @param task task to run on the decision thread
+     * @return false if the queue is full and the task was not accepted
      */
     boolean offer(Runnable task);
 }
--- a/library/src/main/java/org/copperspindle/core/DecisionRing.java
+++ b/library/src/main/java/org/copperspindle/core/DecisionRing.java
@@ -14,23 +14,26 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * The decision loop of a daemon: a Disruptor ring whose single consumer owns all decision state, so that no decision
- * takes a lock. Network threads use {@link #offer}, which refuses when the ring is full, or {@link #offerUntilTaken} for
- * what must not be lost; they never block. Timer and disk threads use {@link #execute}, which may wait.
+ * The decision loop of a daemon: a Disruptor ring buffer whose single consumer thread owns all decision state, so
+ * that decisions need no locks. Network threads never block: they use {@link #offer}, which returns false if the
+ * ring is full, or {@link #offerUntilTaken} for tasks that must not be lost. Timer and disk threads use
+ * {@link #execute}, which may block.
  */
 public final class DecisionRing implements DecisionQueue, Executor, AutoCloseable {
 
-    /** Default number of slots; a burst beyond it is refused with back-pressure rather than queued. */
+    /**
+     * Default number of slots; tasks beyond it are refused, which causes backpressure instead of unbounded queueing.
+     */
     public static final int DEFAULT_SLOTS = 8192;
 
-    private static final long OFFER_AGAIN_MILLIS = 1;
+    private static final long RETRY_DELAY_MILLIS = 1;
 
     private static final Logger LOGGER = LogManager.getLogger(DecisionRing.class);
 
     private final Disruptor<Slot> disruptor;
     private final RingBuffer<Slot> ring;
     private final LongAdder failures = new LongAdder();
-    private volatile Thread owner;
+    private volatile Thread consumerThread;
 
     /**
      * Starts the consumer thread.
@@ -39,14 +42,14 @@
      * @param slots ring size, a power of two
      */
     public DecisionRing(String name, int slots) {
-        // Blocking wait: a spinning consumer would use a whole core of a VM that grants 3.5% of one.
+        // Blocking wait strategy: a spinning consumer would use a whole core on a VM that is granted 3.5% of one.
         disruptor = new Disruptor<>(
                 Slot::new,
                 slots,
                 task -> {
                     Thread thread = new Thread(task, name);
                     thread.setDaemon(true);
-                    owner = thread;
+                    consumerThread = thread;
                     return thread;
                 },
                 ProducerType.MULTI,
@@ -62,27 +65,27 @@
     }
 
     /**
-     * Hands over a task from a network thread without blocking it: while the ring is full, the task is offered again
-     * from the thread's own scheduler. Two tasks handed over this way may change places; what must keep its order is
-     * queued by its sender behind the refused one.
+     * Queues a task from a network thread without blocking it: while the ring is full, the task is offered again
+     * from the thread's own scheduler. Tasks queued this way may be reordered; a sender that needs order must queue
+     * later tasks behind the refused one itself.
      *
-     * @param task      what to run on the decision thread
+     * @param task      task to run on the decision thread
      * @param scheduler the network thread's event loop, or the group of them
      */
     public void offerUntilTaken(Runnable task, ScheduledExecutorService scheduler) {
         if (offer(task) || scheduler.isShutdown()) {
             return;
         }
-        scheduler.schedule(() -> offerUntilTaken(task, scheduler), OFFER_AGAIN_MILLIS, TimeUnit.MILLISECONDS);
+        scheduler.schedule(() -> offerUntilTaken(task, scheduler), RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /**
-     * Hands over a task, waiting for a free slot. Not for network threads. A task from the decision thread itself runs
-     * in place: waiting for a slot there would be a deadlock.
+     * Queues a task, blocking until a slot is free. Must not be called on network threads. On the decision thread
+     * itself the task runs immediately, because waiting for a slot there would deadlock.
      */
     @Override
     public void execute(Runnable task) {
-        if (Thread.currentThread() == owner) {
+        if (Thread.currentThread() == consumerThread) {
             task.run();
             return;
         }
@@ -90,7 +93,7 @@
     }
 
     /**
-     * Returns how full the ring is.
+     * Returns the number of tasks in the ring.
      *
      * @return slots in use
      */
@@ -99,7 +102,7 @@
     }
 
     /**
-     * Returns how many decisions failed unexpectedly.
+     * Returns the number of decisions that failed unexpectedly.
      *
      * @return a count
      */
@@ -123,7 +126,7 @@
         }
     }
 
-    /** Keeps the ring alive: one failed decision must not stop all others. */
+    /** Counts and logs failures, so that one failed decision doesn't stop the ring. */
     private final class CountingExceptionHandler implements ExceptionHandler<Slot> {
         @Override
         public void handleEventException(Throwable failure, long sequence, Slot slot) {
--- a/library/src/main/java/org/copperspindle/logging/LineLogger.java
+++ b/library/src/main/java/org/copperspindle/logging/LineLogger.java
@@ -10,13 +10,14 @@
 import org.apache.logging.log4j.spi.ExtendedLoggerWrapper;
 
 /**
- * A logger that writes {@code ts=UNIX_MILLIS level=LEVEL logger=CLASS MESSAGE}, and the stack trace of an exception behind it.
+ * A logger that writes lines of the form {@code ts=UNIX_MILLIS level=LEVEL logger=CLASS MESSAGE}, followed by the
+ * stack trace of an exception if there is one.
  */
 final class LineLogger extends ExtendedLoggerWrapper {
 
     private static final long serialVersionUID = 1L;
 
-    private static final int USUAL_LENGTH = 200;
+    private static final int INITIAL_CAPACITY = 200;
 
     private final transient LineWriter writer;
     private final String shortName;
@@ -24,8 +25,8 @@
     /**
      * Creates a logger.
      *
-     * @param levels its levels; nothing is written by it
-     * @param writer writes its lines
+     * @param levels logger that provides name and level only; it writes nothing
+     * @param writer writes the lines
      */
     LineLogger(ExtendedLogger levels, LineWriter writer) {
         super(levels, levels.getName(), levels.getMessageFactory());
@@ -34,16 +35,16 @@
     }
 
     @Override
-    public void logMessage(String caller, Level of, Marker marker, Message message, Throwable thrown) {
-        boolean limited = of.isLessSpecificThan(Level.WARN);
-        if (limited && !writer.takesLimited()) {
+    public void logMessage(String caller, Level level, Marker marker, Message message, Throwable thrown) {
+        boolean rateLimited = level.isLessSpecificThan(Level.WARN);
+        if (rateLimited && !writer.tryAcquireLine()) {
             return;
         }
-        StringBuilder line = new StringBuilder(USUAL_LENGTH)
+        StringBuilder line = new StringBuilder(INITIAL_CAPACITY)
                 .append("ts=")
                 .append(System.currentTimeMillis())
                 .append(" level=")
-                .append(of.name())
+                .append(level.name())
                 .append(" logger=")
                 .append(shortName)
                 .append(' ')
--- a/library/src/main/java/org/copperspindle/logging/LineLoggerContext.java
+++ b/library/src/main/java/org/copperspindle/logging/LineLoggerContext.java
@@ -13,19 +13,19 @@
 import org.apache.logging.log4j.spi.Terminable;
 
 /**
- * The loggers of a process by their names.
+ * The loggers of a process by name.
  */
 final class LineLoggerContext implements LoggerContext, Terminable {
 
-    /** Netty's warnings are about broken connections, which the node tells in its own words. */
-    private static final String NETTY = "io.netty";
+    /** Netty's warnings concern broken connections, which the node logs itself, so only Netty's errors are logged. */
+    private static final String NETTY_PREFIX = "io.netty";
 
-    /** A process does not stay for a reader that has stopped. */
-    private static final Duration LAST_LINES = Duration.ofMillis(200);
+    /** Longest wait for the last lines at exit: the reader of standard output may have stopped. */
+    private static final Duration FLUSH_TIMEOUT = Duration.ofMillis(200);
 
     private final Map<String, LineLogger> loggers = new ConcurrentHashMap<>();
 
-    /** Log4j's smallest loggers, of which only the levels are used. */
+    /** Log4j's simple loggers, used only for their levels. */
     private final SimpleLoggerContext levels = new SimpleLoggerContext();
 
     private final LineWriter writer;
@@ -64,11 +64,11 @@
         return hasLogger(name);
     }
 
-    /** Has the last lines written; a process is about to end. */
+    /** Flushes the last lines before the process exits. */
     @Override
     public void terminate() {
         try {
-            writer.flush(LAST_LINES);
+            writer.flush(FLUSH_TIMEOUT);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -81,6 +81,6 @@
     }
 
     private static Level level(String name) {
-        return name.startsWith(NETTY) ? Level.ERROR : Level.INFO;
+        return name.startsWith(NETTY_PREFIX) ? Level.ERROR : Level.INFO;
     }
 }
--- a/library/src/main/java/org/copperspindle/logging/LineLoggerContextFactory.java
+++ b/library/src/main/java/org/copperspindle/logging/LineLoggerContextFactory.java
@@ -6,13 +6,13 @@
 import org.apache.logging.log4j.spi.LoggerContextFactory;
 
 /**
- * The one context of a process, whose lines go to standard output.
+ * Provides the only logger context of a process, which writes to standard output.
  */
 public final class LineLoggerContextFactory implements LoggerContextFactory {
 
     private final LoggerContext context;
 
-    /** Creates the factory and starts to write. */
+    /** Creates the factory and starts the writer thread. */
     public LineLoggerContextFactory() {
         LineWriter writer = new LineWriter(System.out, System::nanoTime);
         writer.start();
@@ -37,7 +37,7 @@
 
     @Override
     public void removeContext(LoggerContext removed) {
-        // The process has one context, to its end.
+        // The process keeps its only context until it exits.
     }
 
     @Override
--- a/library/src/main/java/org/copperspindle/logging/LineWriter.java
+++ b/library/src/main/java/org/copperspindle/logging/LineWriter.java
@@ -11,28 +11,29 @@
 import java.util.function.LongSupplier;
 
 /**
- * Writes lines on a thread of its own. No decision waits for the reader of standard output: with the queue full, lines are dropped.
- * Whatever happens, a process writes a bounded number of lines a second.
+ * Writes log lines on a separate thread. Decisions never wait for the reader of standard output: lines are dropped
+ * while the queue is full. The lines per second are limited as well.
  */
 final class LineWriter {
 
-    private static final int QUEUE = 2048;
+    private static final int QUEUE_CAPACITY = 2048;
 
-    /** Lines a second that a reader of a busy node can still take in, and lines that may come at once after a quiet time. */
+    /** Lines per second that the reader of a busy node's output can still process. */
     private static final int LINES_PER_SECOND = 500;
 
-    private static final int MOST_AT_ONCE = 1500;
+    /** Lines that may be written in a burst after a quiet time. */
+    private static final int MAX_BURST_LINES = 1500;
 
     private static final double NANOS_PER_SECOND = 1e9;
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    private final BlockingQueue<String> queue = new ArrayBlockingQueue<>(QUEUE);
+    private final BlockingQueue<String> queue = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
     private final OutputStream out;
     private final LongSupplier nanoTime;
-    private double allowance = MOST_AT_ONCE;
-    private long countedAt;
-    private long handedOver;
-    private long written;
+    private double availableLines = MAX_BURST_LINES;
+    private long refilledNanos;
+    private long queuedLines;
+    private long writtenLines;
 
     /**
      * Creates a writer.
@@ -43,10 +44,10 @@
     LineWriter(OutputStream out, LongSupplier nanoTime) {
         this.out = out;
         this.nanoTime = nanoTime;
-        this.countedAt = nanoTime.getAsLong();
+        this.refilledNanos = nanoTime.getAsLong();
     }
 
-    /** Starts the thread. */
+    /** Starts the writer thread. */
     void start() {
         Thread thread = new Thread(this::run, "log-lines");
         thread.setDaemon(true);
@@ -54,48 +55,49 @@
     }
 
     /**
-     * Takes one line from the bounded number.
+     * Acquires permission to write one line from the rate limit.
      *
-     * @return false if none is left
+     * @return false if the limit is reached
      */
-    synchronized boolean takesLimited() {
+    synchronized boolean tryAcquireLine() {
         long now = nanoTime.getAsLong();
-        allowance = Math.min(MOST_AT_ONCE, allowance + (now - countedAt) / NANOS_PER_SECOND * LINES_PER_SECOND);
-        countedAt = now;
-        if (allowance < 1) {
+        availableLines =
+                Math.min(MAX_BURST_LINES, availableLines + (now - refilledNanos) / NANOS_PER_SECOND * LINES_PER_SECOND);
+        refilledNanos = now;
+        if (availableLines < 1) {
             return false;
         }
-        allowance--;
+        availableLines--;
         return true;
     }
 
-    /** Hands a line over; it is dropped if lines come faster than they are read. */
+    /** Queues a line; it is dropped if the queue is full because lines come faster than they are read. */
     synchronized void write(String line) {
         if (queue.offer(line)) {
-            handedOver++;
+            queuedLines++;
         }
     }
 
     /**
-     * Waits until all lines that were handed over before are written.
+     * Waits until all lines queued before the call are written.
      *
-     * @param bound the longest wait
-     * @return false if lines are left: the reader of standard output stands still
+     * @param bound longest wait
+     * @return false if lines are left because the reader of standard output has stopped
      * @throws InterruptedException if the wait is interrupted
      */
     synchronized boolean flush(Duration bound) throws InterruptedException {
-        long last = handedOver;
+        long target = queuedLines;
         long end = System.nanoTime() + bound.toNanos();
-        long left = bound.toMillis();
-        while (written < last && left > 0) {
-            wait(left);
-            left = (end - System.nanoTime()) / NANOS_PER_MILLI;
+        long remainingMillis = bound.toMillis();
+        while (writtenLines < target && remainingMillis > 0) {
+            wait(remainingMillis);
+            remainingMillis = (end - System.nanoTime()) / NANOS_PER_MILLI;
         }
-        return written >= last;
+        return writtenLines >= target;
     }
 
     private synchronized void count(int lines) {
-        written += lines;
+        writtenLines += lines;
         notifyAll();
     }
 
@@ -105,13 +107,13 @@
             try {
                 lines.add(queue.take());
                 queue.drainTo(lines);
-                // One write for all that has come: each is charged for by itself.
+                // One write for all queued lines, because each write has a cost of its own.
                 out.write(String.join("", lines).getBytes(StandardCharsets.UTF_8));
                 out.flush();
             } catch (InterruptedException e) {
                 return;
             } catch (IOException e) {
-                // Nobody reads any more, and there is no other place to say so.
+                // Standard output is closed, and there is no other place to report it.
                 return;
             }
             count(lines.size());
--- a/library/src/main/java/org/copperspindle/settings/SettingsException.java
+++ b/library/src/main/java/org/copperspindle/settings/SettingsException.java
@@ -4,16 +4,16 @@
 import java.util.stream.Collectors;
 
 /**
- * A settings file was refused; carries every fault found, not only the first.
+ * Thrown when a settings file is invalid; contains all problems found, not only the first.
  */
 public final class SettingsException extends Exception {
 
     private final transient List<SettingsProblem> problems;
 
     /**
-     * Reports faults.
+     * Creates an exception.
      *
-     * @param problems at least one
+     * @param problems problems found, at least one
      */
     public SettingsException(List<SettingsProblem> problems) {
         super(problems.stream().map(SettingsProblem::toString).collect(Collectors.joining("\n")));
@@ -21,9 +21,9 @@
     }
 
     /**
-     * Returns the faults.
+     * Returns the problems.
      *
-     * @return in the order of the file
+     * @return in the order found
      */
     public List<SettingsProblem> problems() {
         return problems;
--- a/library/src/main/java/org/copperspindle/settings/SettingsFile.java
+++ b/library/src/main/java/org/copperspindle/settings/SettingsFile.java
@@ -17,7 +17,7 @@
 import org.apache.commons.configuration2.tree.ImmutableNode;
 
 /**
- * An INI file read whole. Collects the faults of all its sections.
+ * A parsed INI file. Collects the problems found in all its sections.
  */
 public final class SettingsFile {
 
@@ -48,7 +48,7 @@
     }
 
     /**
-     * Parses text that was read elsewhere, for example from a request of an operator.
+     * Parses INI text from another source, for example an operator's request.
      *
      * @param name name for error messages
      * @param text the INI text
@@ -74,7 +74,7 @@
      * Returns a section that must exist.
      *
      * @param section its name
-     * @return the section; an empty one after a fault
+     * @return the section; an empty one if it is missing
      */
     public SettingsSection section(String section) {
         SettingsSection found = sections.get(section);
@@ -86,7 +86,7 @@
     }
 
     /**
-     * Says whether a section exists.
+     * Returns whether a section exists.
      *
      * @param section its name
      * @return true if it does
@@ -108,10 +108,10 @@
     }
 
     /**
-     * Reports sections of unknown kind and throws if any fault was found.
+     * Reports sections of unknown kind and throws if any problem was found.
      *
      * @param kinds allowed first words of section names
-     * @throws SettingsException with all faults
+     * @throws SettingsException with all problems
      */
     public void finish(List<String> kinds) throws SettingsException {
         for (SettingsSection section : sections.values()) {
@@ -127,8 +127,8 @@
     }
 
     /**
-     * Groups the keys of the sections in one pass over the library's nodes. Its view of a single section searches all
-     * sections for each call, so that reading took time by the square of their number.
+     * Groups the keys by section in one pass over the INI library's nodes. The library's view of a single section
+     * searches all sections on each call, which makes reading quadratic in the number of sections.
      */
     private static Map<String, List<ImmutableNode>> keysBySection(INIConfiguration ini) {
         Map<String, List<ImmutableNode>> keys = new HashMap<>();
@@ -145,8 +145,9 @@
             problems.add(new SettingsProblem(name, "", "", "keys outside any section", ""));
             return;
         }
-        // Nodes hold the text as it was written: the library's getters replace ${env:NAME} and the like, so that a file
-        // sent to this process could read its environment, and two processes could read one file differently.
+        // Nodes hold the text as written. The library's getters expand ${env:NAME} and similar expressions, so a
+        // file sent to this process could read its environment, and two processes could read the same file
+        // differently.
         Map<String, String> values = new LinkedHashMap<>();
         Map<String, Integer> counts = new LinkedHashMap<>();
         for (ImmutableNode key : keys) {
--- a/library/src/main/java/org/copperspindle/settings/SettingsProblem.java
+++ b/library/src/main/java/org/copperspindle/settings/SettingsProblem.java
@@ -1,13 +1,13 @@
 package org.copperspindle.settings;
 
 /**
- * One fault of a settings file.
+ * A problem in a settings file.
  *
- * @param file     the file as the operator named it
- * @param section  section, empty for the file as a whole
- * @param key      key, empty for the section as a whole
+ * @param file     file name as the operator gave it
+ * @param section  section, empty if the problem concerns the whole file
+ * @param key      key, empty if the problem concerns the whole section
  * @param problem  what is wrong
- * @param expected what would be right, empty if the problem says it
+ * @param expected what is expected, empty if the problem text makes it clear
  */
 public record SettingsProblem(String file, String section, String key, String problem, String expected) {
 
--- a/library/src/main/java/org/copperspindle/settings/SettingsSection.java
+++ b/library/src/main/java/org/copperspindle/settings/SettingsSection.java
@@ -16,8 +16,8 @@
 import java.util.stream.Collectors;
 
 /**
- * One section of a settings file. Each typed getter records a fault instead of throwing, so that one run shows all
- * faults; {@link #finish()} reports keys that no getter asked for.
+ * A section of a settings file with typed getters. A getter records a problem instead of throwing, so that all
+ * problems are reported together; {@link #finish()} reports keys that no getter has read.
  */
 public final class SettingsSection {
 
@@ -30,7 +30,7 @@
     private final String name;
     private final Map<String, String> values;
     private final List<SettingsProblem> problems;
-    private final Set<String> asked = new TreeSet<>();
+    private final Set<String> readKeys = new TreeSet<>();
 
     SettingsSection(String file, String name, Map<String, String> values, List<SettingsProblem> problems) {
         this.file = file;
@@ -49,7 +49,7 @@
     }
 
     /**
-     * Returns what follows the first word of the name.
+     * Returns the part of the name after the first word.
      *
      * @return {@code engines} for {@code pool engines}; empty if there is one word only
      */
@@ -62,8 +62,8 @@
      * Reads a required string.
      *
      * @param key      the key
-     * @param expected what an operator should write
-     * @return its value, empty after a fault
+     * @param expected description of a valid value, for the error message
+     * @return its value, empty if the key is missing
      */
     public String getString(String key, String expected) {
         return read(key, expected, Optional.empty(), "", Function.identity());
@@ -73,7 +73,7 @@
      * Reads an optional string.
      *
      * @param key      the key
-     * @param expected what an operator should write
+     * @param expected description of a valid value, for the error message
      * @param fallback value if absent
      * @return its value
      */
@@ -187,8 +187,8 @@
     }
 
     /**
-     * Reads an address such as {@code 127.0.0.1:7400}; names are refused, because a process must not depend on a
-     * resolver.
+     * Reads an address such as {@code 127.0.0.1:7400}; host names are refused, because a process must not depend on
+     * name resolution.
      *
      * @param key      the key
      * @param fallback value if absent, or empty if the key is required
@@ -218,7 +218,7 @@
      * Reads a list of words separated by commas.
      *
      * @param key      the key
-     * @param expected what an operator should write
+     * @param expected description of a valid value, for the error message
      * @param fallback value if absent, or empty if the key is required
      * @return the words
      */
@@ -227,7 +227,7 @@
     }
 
     /**
-     * Reads one of a set of constants, written in lower case.
+     * Reads an enum constant, written in lower case.
      *
      * @param key      the key
      * @param type     the enumeration
@@ -245,21 +245,21 @@
     }
 
     /**
-     * Records a fault of a key.
+     * Records a problem with a key.
      *
      * @param key      the key, empty for the whole section
      * @param problem  what is wrong
-     * @param expected what would be right
+     * @param expected what is expected
      */
     public void reject(String key, String problem, String expected) {
         problems.add(new SettingsProblem(file, name, key, problem, expected));
     }
 
-    /** Reports the keys that nobody asked for. */
+    /** Reports the keys that no getter has read. */
     public void finish() {
         for (String key : values.keySet()) {
-            if (!asked.contains(key)) {
-                reject(key, "unknown key", "one of " + String.join(", ", asked));
+            if (!readKeys.contains(key)) {
+                reject(key, "unknown key", "one of " + String.join(", ", readKeys));
             }
         }
     }
@@ -277,20 +277,20 @@
                 .toList();
     }
 
-    private <T> T read(String key, String expected, Optional<T> fallback, T none, Function<String, T> parser) {
-        asked.add(key);
+    private <T> T read(String key, String expected, Optional<T> fallback, T invalid, Function<String, T> parser) {
+        readKeys.add(key);
         String text = values.get(key);
         if (text == null) {
             if (fallback.isEmpty()) {
                 reject(key, "missing", expected);
             }
-            return fallback.orElse(none);
+            return fallback.orElse(invalid);
         }
         try {
             return parser.apply(text.trim());
         } catch (IllegalArgumentException | ArithmeticException e) {
             reject(key, "bad value '" + text + "'", expected);
-            return none;
+            return invalid;
         }
     }
 
@@ -312,7 +312,7 @@
             case "h" -> Duration.ofHours(amount);
             default -> Duration.ofDays(amount);
         };
-        // Longer ones overflow when counted in nanoseconds, far from the key that caused it.
+        // Longer durations overflow when converted to nanoseconds, in code that no longer knows the key.
         require(duration.compareTo(MAX_DURATION) <= 0);
         return duration;
     }
--- a/library/src/main/java/org/copperspindle/settings/package-info.java
+++ b/library/src/main/java/org/copperspindle/settings/package-info.java
@@ -1,4 +1,4 @@
 /**
- * INI settings: typed reading with errors that name file, section and key.
+ * Typed reading of INI settings files, with error messages that name file, section and key.
  */
 package org.copperspindle.settings;
--- a/library/src/main/java/org/copperspindle/time/DeferredTask.java
+++ b/library/src/main/java/org/copperspindle/time/DeferredTask.java
@@ -1,8 +1,8 @@
 package org.copperspindle.time;
 
 /**
- * A task that runs some time after it was asked for, once for all that ask meanwhile. It may ask for itself again while it
- * runs. For the thread of its timers.
+ * A task that runs after a delay, once for all requests made in the meantime. It may schedule itself again while it
+ * runs. Not thread-safe: used only on the thread that runs the timers' tasks.
  */
 public final class DeferredTask {
 
@@ -11,10 +11,10 @@
     private boolean pending;
 
     /**
-     * Creates the task; it does not run by itself.
+     * Creates the task without scheduling it.
      *
-     * @param timers time
-     * @param task   what to run
+     * @param timers timer service
+     * @param task   the task
      */
     public DeferredTask(TimerService timers, Runnable task) {
         this.timers = timers;
@@ -22,7 +22,7 @@
     }
 
     /**
-     * Has it run, unless it is about to run already.
+     * Schedules the task, unless it is already pending.
      *
      * @param delayNanos nanoseconds from now
      */
--- a/library/src/main/java/org/copperspindle/time/LoopTimerService.java
+++ b/library/src/main/java/org/copperspindle/time/LoopTimerService.java
@@ -6,8 +6,8 @@
 import io.netty.channel.EventLoop;
 
 /**
- * Real time on a network thread: due tasks run there, beside the events of its sockets. For state that the network
- * thread owns, so that a timer costs no hand-over between threads.
+ * Timer service in real time on a Netty event loop. Due tasks run on the network thread itself, for state that this
+ * thread owns, so that a timer needs no switch between threads.
  */
 public final class LoopTimerService implements TimerService {
 
@@ -16,7 +16,7 @@
     /**
      * Creates the service.
      *
-     * @param loop thread that owns the subscribers' state
+     * @param loop event loop whose thread owns the subscribers' state
      */
     public LoopTimerService(EventLoop loop) {
         this.loop = loop;
--- a/library/src/main/java/org/copperspindle/time/SuspensionWatch.java
+++ b/library/src/main/java/org/copperspindle/time/SuspensionWatch.java
@@ -3,53 +3,56 @@
 import java.util.function.LongSupplier;
 
 /**
- * Finds out that this process's VM was suspended. The monotonic clock stands still meanwhile, so that a lease counted on
- * it would seem to run on; the time of day jumps ahead. A step of the time of day looks the same and costs an early end
- * of a lease, which is harmless.
+ * Detects that this process's VM was suspended. The monotonic clock stops during a suspension while the time of day
+ * jumps ahead, so a lease measured with the monotonic clock would seem valid for too long. A clock step of the time
+ * of day looks the same; it only ends a lease early, which is harmless.
  */
 public final class SuspensionWatch {
 
-    /** Far above the disagreement of two clock readings in one process, well below any lease; nanoseconds. */
-    private static final long TOLERATED_NANOS = 250_000_000L;
+    /**
+     * Largest difference that doesn't count as a suspension. Far above the difference between two clock readings in
+     * one process, well below any lease.
+     */
+    private static final long MAX_DIFFERENCE_NANOS = 250_000_000L;
 
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
     private final LongSupplier monotonicNanos;
-    private final LongSupplier dayMillis;
+    private final LongSupplier timeOfDayMillis;
     private long offset;
 
     /**
-     * Creates a watch on the system's clocks.
+     * Creates a detector that uses the system clocks.
      */
     public SuspensionWatch() {
         this(System::nanoTime, System::currentTimeMillis);
     }
 
     /**
-     * Creates a watch on given clocks.
+     * Creates a detector that uses the given clocks.
      *
-     * @param monotonicNanos monotonic time in nanoseconds
-     * @param dayMillis      time of day in milliseconds
+     * @param monotonicNanos  monotonic time in nanoseconds
+     * @param timeOfDayMillis time of day in milliseconds
      */
-    public SuspensionWatch(LongSupplier monotonicNanos, LongSupplier dayMillis) {
+    public SuspensionWatch(LongSupplier monotonicNanos, LongSupplier timeOfDayMillis) {
         this.monotonicNanos = monotonicNanos;
-        this.dayMillis = dayMillis;
+        this.timeOfDayMillis = timeOfDayMillis;
         this.offset = offset();
     }
 
     /**
-     * Compares the clocks.
+     * Compares how far the two clocks have advanced since the last call.
      *
-     * @return true if the VM seems to have stood still since the last call
+     * @return true if the VM seems to have been suspended since the last call
      */
     public boolean stoodStill() {
         long now = offset();
-        long ahead = now - offset;
+        long jumpNanos = now - offset;
         offset = now;
-        return ahead > TOLERATED_NANOS;
+        return jumpNanos > MAX_DIFFERENCE_NANOS;
     }
 
     private long offset() {
-        return dayMillis.getAsLong() * NANOS_PER_MILLI - monotonicNanos.getAsLong();
+        return timeOfDayMillis.getAsLong() * NANOS_PER_MILLI - monotonicNanos.getAsLong();
     }
 }
--- a/library/src/main/java/org/copperspindle/time/SystemTimerService.java
+++ b/library/src/main/java/org/copperspindle/time/SystemTimerService.java
@@ -7,8 +7,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Real time. A single timer thread hands due tasks to an executor, normally the daemon's decision ring. The JDK's
- * scheduler is used rather than a ticking wheel: an idle control process must stay within its share of a core.
+ * Timer service in real time. A single timer thread passes due tasks to an executor, normally the daemon's decision
+ * ring. It uses the JDK's scheduler rather than a hashed wheel timer, whose ticks would cost an idle control process
+ * too much of its small share of a core.
  */
 public final class SystemTimerService implements TimerService, AutoCloseable {
 
@@ -19,7 +20,7 @@
      * Starts the timer thread.
      *
      * @param name     name of the timer thread
-     * @param executor where due tasks run
+     * @param executor executor that runs due tasks
      */
     public SystemTimerService(String name, Executor executor) {
         this.executor = executor;
@@ -29,7 +30,7 @@
             return thread;
         });
         this.scheduler.setRemoveOnCancelPolicy(true);
-        // A task of the ring may still subscribe while the process ends; that is not a failure.
+        // A task on the decision ring may still schedule a timer while the process stops; that is not a failure.
         this.scheduler.setRejectedExecutionHandler(new ThreadPoolExecutor.DiscardPolicy());
     }
 
--- a/library/src/main/java/org/copperspindle/time/TimerService.java
+++ b/library/src/main/java/org/copperspindle/time/TimerService.java
@@ -1,8 +1,8 @@
 package org.copperspindle.time;
 
 /**
- * The only source of time. Decisions read {@link #nanoTime()} and subscribe to instants; tests and replay put a
- * {@link VirtualTimerService} in its place.
+ * The only source of time for decisions, which read {@link #nanoTime()} and schedule tasks. Tests and replay use a
+ * {@link VirtualTimerService} instead.
  */
 public interface TimerService {
 
@@ -17,7 +17,7 @@
      * Runs a task once, after a delay, on the thread that owns the subscriber's state.
      *
      * @param delayNanos nanoseconds from now; zero or less means as soon as possible
-     * @param task       what to run
+     * @param task       the task
      * @return a subscription that can be cancelled
      */
     TimerSubscription schedule(long delayNanos, Runnable task);
--- a/library/src/main/java/org/copperspindle/time/TimerSubscription.java
+++ b/library/src/main/java/org/copperspindle/time/TimerSubscription.java
@@ -1,11 +1,11 @@
 package org.copperspindle.time;
 
 /**
- * One pending task of a {@link TimerService}.
+ * A handle to a task scheduled with a {@link TimerService}.
  */
 @FunctionalInterface
 public interface TimerSubscription {
 
-    /** Withdraws the task; does nothing if it has run or was withdrawn before. */
+    /** Cancels the task; does nothing if it has run or was cancelled before. */
     void cancel();
 }
--- a/library/src/main/java/org/copperspindle/time/VirtualTimerService.java
+++ b/library/src/main/java/org/copperspindle/time/VirtualTimerService.java
@@ -4,8 +4,8 @@
 import java.util.PriorityQueue;
 
 /**
- * Virtual time: stands still until it is advanced, runs due tasks in order of instant, then of subscription.
- * Single-threaded, so that the same schedule gives the same run.
+ * Timer service in virtual time, which passes only when advanced. Due tasks run in order of time, then of
+ * scheduling. Single-threaded, so that runs are deterministic.
  */
 public final class VirtualTimerService implements TimerService {
 
@@ -27,9 +27,9 @@
     }
 
     /**
-     * Moves time forward and runs every task that falls due on the way.
+     * Advances the time and runs every task that becomes due.
      *
-     * @param nanos how far to move
+     * @param nanos nanoseconds to advance
      */
     public void advance(long nanos) {
         long end = now + nanos;
@@ -40,7 +40,7 @@
     }
 
     /**
-     * Jumps to the next pending task and runs it.
+     * Advances to the next pending task and runs it.
      *
      * @return false if nothing is pending
      */
@@ -54,6 +54,6 @@
         return true;
     }
 
-    /** A pending task; identity equality is wanted, hence the unique sequence. */
+    /** A pending task. The unique sequence number keeps entries distinct under the record's equality. */
     private record Entry(long at, long sequence, Runnable task) {}
 }
--- a/library/src/main/java/org/copperspindle/time/package-info.java
+++ b/library/src/main/java/org/copperspindle/time/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Timer service that the other packages subscribe to, in real and in virtual time.
+ * Timer services in real and in virtual time, which all other packages use as their clock.
  */
 package org.copperspindle.time;
--- a/library/src/main/java/org/copperspindle/verdict/MayHaveRunVerdict.java
+++ b/library/src/main/java/org/copperspindle/verdict/MayHaveRunVerdict.java
@@ -1,9 +1,10 @@
 package org.copperspindle.verdict;
 
 /**
- * The work was handed over and its outcome is unknown: a lost connection, a timeout, an agent that died.
+ * The work was dispatched and its outcome is unknown, for example after a lost connection, a timeout or the crash of
+ * an agent.
  *
- * @param reason what was lost
+ * @param reason why the outcome is unknown
  */
 public record MayHaveRunVerdict(String reason) implements Verdict {
 
--- a/library/src/main/java/org/copperspindle/verdict/NotRunVerdict.java
+++ b/library/src/main/java/org/copperspindle/verdict/NotRunVerdict.java
@@ -1,10 +1,10 @@
 package org.copperspindle.verdict;
 
 /**
- * The work did not run and never will: refused before dispatch, or refused by an agent that recorded the refusal, so
- * that a delayed copy of the order is refused as well. A timeout alone never leads here.
+ * The work did not run and never will. It was refused before dispatch, or by an agent that recorded the refusal, so
+ * that it refuses a delayed copy of the order as well. A timeout alone never gives this verdict.
  *
- * @param reason the proof in short, for example {@code draining}
+ * @param reason why the work can't have run, for example {@code draining}
  */
 public record NotRunVerdict(String reason) implements Verdict {
 
--- a/library/src/main/java/org/copperspindle/verdict/RanVerdict.java
+++ b/library/src/main/java/org/copperspindle/verdict/RanVerdict.java
@@ -1,9 +1,9 @@
 package org.copperspindle.verdict;
 
 /**
- * The work ran and its outcome, good or bad, is known.
+ * The work ran and its outcome, success or failure, is known.
  *
- * @param reason detail on the outcome, empty for success
+ * @param reason details of the outcome, empty for success
  */
 public record RanVerdict(String reason) implements Verdict {
 
--- a/library/src/main/java/org/copperspindle/verdict/Verdict.java
+++ b/library/src/main/java/org/copperspindle/verdict/Verdict.java
@@ -1,9 +1,9 @@
 package org.copperspindle.verdict;
 
 /**
- * Says whether a piece of work may have run on an upstream. Every attempt and every answer carries one.
+ * Whether a unit of work may have run on an upstream. Every attempt and every response carries one.
  *
- * <p>The distinction drives retries: unrepeatable work is dispatched again only after {@link NotRunVerdict}.
+ * <p>Retries depend on it: work that is not repeatable is dispatched again only after a {@link NotRunVerdict}.
  */
 public sealed interface Verdict permits NotRunVerdict, MayHaveRunVerdict, RanVerdict {
 
--- a/library/src/main/java/org/copperspindle/verdict/VerdictFactory.java
+++ b/library/src/main/java/org/copperspindle/verdict/VerdictFactory.java
@@ -1,15 +1,15 @@
 package org.copperspindle.verdict;
 
 /**
- * Builds verdicts from their wire form.
+ * Creates verdicts from their wire form.
  */
 public final class VerdictFactory {
 
     private VerdictFactory() {}
 
     /**
-     * Parses a verdict. An unknown label, as a newer peer might send, becomes {@link MayHaveRunVerdict}: the only
-     * verdict that promises nothing.
+     * Parses a verdict. An unknown label, as a newer peer might send, becomes a {@link MayHaveRunVerdict}, the only
+     * verdict that guarantees nothing.
      *
      * @param label  wire form of the verdict
      * @param reason reason sent with it
--- a/library/src/main/java/org/copperspindle/verdict/package-info.java
+++ b/library/src/main/java/org/copperspindle/verdict/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Whether a request or attempt may have run; carried by every attempt and every answer.
+ * Verdicts on whether a request or attempt may have run; every attempt and every response carries one.
  */
 package org.copperspindle.verdict;
--- a/library/src/test/java/org/copperspindle/logging/LineLoggerTest.java
+++ b/library/src/test/java/org/copperspindle/logging/LineLoggerTest.java
@@ -25,7 +25,7 @@
 
 class LineLoggerTest {
 
-    private static final long BOUND_NANOS = Duration.ofSeconds(20).toNanos();
+    private static final long TIMEOUT_NANOS = Duration.ofSeconds(20).toNanos();
 
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
     private final AtomicLong now = new AtomicLong();
@@ -67,23 +67,26 @@
                 .isSameAs(logger);
     }
 
-    /** A fault makes each request write lines: they cost the processor time that requests need. */
+    /**
+     * A fault that makes every request log must not use up the CPU time that requests need, so lines are
+     * rate-limited; errors are always written.
+     */
     @Test
-    void linesAreBoundedAndErrorsAreNot() {
-        assertThat(taken(2000)).isEqualTo(1500);
+    void linesAreRateLimitedAndErrorsAreNot() {
+        assertThat(acquiredLines(2000)).isEqualTo(1500);
         now.addAndGet(Duration.ofMillis(100).toNanos());
-        assertThat(taken(2000)).isEqualTo(50);
+        assertThat(acquiredLines(2000)).isEqualTo(50);
         now.addAndGet(Duration.ofHours(1).toNanos());
-        assertThat(taken(2000)).isEqualTo(1500);
+        assertThat(acquiredLines(2000)).isEqualTo(1500);
         writer.start();
         logger.error("event=still-written");
         assertThat(awaitLine("still-written\n")).contains("level=ERROR");
     }
 
-    /** Whoever reads standard output stands still: decisions go on, and lines are dropped. */
+    /** The reader of standard output has stopped. Writers must not block; lines are dropped. */
     @Test
     @Timeout(20)
-    void stuckReaderHoldsNobodyUp() {
+    void stuckReaderDoesNotBlockWriters() {
         CountDownLatch never = new CountDownLatch(1);
         LineWriter stuck = new LineWriter(new StuckStream(never), now::get);
         stuck.start();
@@ -91,7 +94,10 @@
         never.countDown();
     }
 
-    /** A process ends: its last lines say why, and are written by another thread. */
+    /**
+     * The last lines before exit say why a process ended. They are written by another thread, so they must be
+     * flushed.
+     */
     @Test
     void lastLinesAreWrittenBeforeTheEnd() {
         LineWriter slow = new LineWriter(new SlowStream(out), now::get);
@@ -104,7 +110,7 @@
 
     @Test
     @Timeout(20)
-    void stuckReaderDoesNotKeepTheProcess() throws InterruptedException {
+    void stuckReaderDoesNotDelayExit() throws InterruptedException {
         LineWriter stuck = new LineWriter(new StuckStream(new CountDownLatch(1)), now::get);
         stuck.start();
         stuck.write("line\n");
@@ -118,12 +124,12 @@
         assertThat(factory.getContext("x", null, null, false)).isInstanceOf(Terminable.class);
     }
 
-    private long taken(int asked) {
-        return IntStream.range(0, asked).filter(i -> writer.takesLimited()).count();
+    private long acquiredLines(int attempts) {
+        return IntStream.range(0, attempts).filter(i -> writer.tryAcquireLine()).count();
     }
 
     private String awaitLine(String part) {
-        long end = System.nanoTime() + BOUND_NANOS;
+        long end = System.nanoTime() + TIMEOUT_NANOS;
         while (!out.toString(StandardCharsets.UTF_8).contains(part)) {
             assertThat(System.nanoTime()).isLessThan(end);
             Thread.onSpinWait();
@@ -131,7 +137,7 @@
         return out.toString(StandardCharsets.UTF_8);
     }
 
-    /** A stream whose reader takes a moment for each line. */
+    /** A stream that takes 5 ms for each line. */
     private static final class SlowStream extends OutputStream {
         private final OutputStream out;
 
@@ -148,7 +154,7 @@
         }
     }
 
-    /** A stream whose reader has stopped. */
+    /** A stream that blocks because its reader has stopped. */
     private static final class StuckStream extends OutputStream {
         private final CountDownLatch open;
 
--- a/library/src/test/java/org/copperspindle/loopback/LoopbackHostTest.java
+++ b/library/src/test/java/org/copperspindle/loopback/LoopbackHostTest.java
@@ -11,13 +11,13 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Ports that are known before anything listens there.
+ * Tests the assignment of loopback addresses and ports.
  */
 class LoopbackHostTest {
 
-    /** A deployment of thirty processes takes an address for each; every one can listen at its own and at the next port. */
+    /** Thirty processes get an address each. No port may be assigned twice, counting the port after each address. */
     @Test
-    void addressesAreGivenOnce() throws IOException {
+    void addressesAreAssignedOnce() throws IOException {
         LoopbackHost host = LoopbackHost.open();
         Set<Integer> ports = new HashSet<>();
         for (int process = 0; process < 30; process++) {
@@ -27,9 +27,9 @@
         }
     }
 
-    /** Another program listens on all addresses of the machine, at a port that would be next. It is passed over. */
+    /** A port that another program has bound on all addresses must be skipped. */
     @Test
-    void takenPortIsPassedOver() throws IOException {
+    void boundPortIsSkipped() throws IOException {
         InetSocketAddress first = LoopbackHost.open().nextAddress();
         try (ServerSocket other = new ServerSocket(first.getPort() + 1)) {
             assertThat(LoopbackHost.open().nextAddress().getPort()).isNotEqualTo(first.getPort());
--- a/library/src/test/java/org/copperspindle/settings/SettingsFileTest.java
+++ b/library/src/test/java/org/copperspindle/settings/SettingsFileTest.java
@@ -10,7 +10,8 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 /**
- * Names and values arrive as they were written, whatever the INI library's own paths and substitutions make of them.
+ * Tests that names and values are read as written, without the path syntax and variable substitution of the INI
+ * library.
  */
 class SettingsFileTest {
 
@@ -32,9 +33,9 @@
         assertThat(file.sections("pool")).hasSize(2);
     }
 
-    /** A section that is continued further down: the second value of a key must not win or vanish unseen. */
+    /** A section may occur twice in a file. A key given in both must be reported; neither value may silently win. */
     @Test
-    void keyGivenTwiceIsNamed() throws SettingsException {
+    void keyGivenTwiceIsReported() throws SettingsException {
         SettingsFile file = SettingsFile.parse("sample", TEXT + "key.one = again\n");
 
         assertThatThrownBy(() -> file.finish(List.of("pool")))
--- a/library/src/test/java/org/copperspindle/time/DeferredTaskTest.java
+++ b/library/src/test/java/org/copperspindle/time/DeferredTaskTest.java
@@ -14,7 +14,7 @@
     private final long begin = time.nanoTime();
 
     @Test
-    void runsOnceForAllThatAskMeanwhile() {
+    void runsOnceForAllRequestsWhilePending() {
         DeferredTask task = new DeferredTask(time, this::ran);
         task.schedule(10);
         task.schedule(3);
@@ -24,9 +24,9 @@
         assertThat(ranAt).hasSize(1);
     }
 
-    /** One that finds more to do when it runs would never run again if it still counted as about to run. */
+    /** A task may schedule itself while it runs. It would never run again if it still counted as pending then. */
     @Test
-    void mayAskForItselfAgainWhileItRuns() {
+    void mayScheduleItselfWhileItRuns() {
         DeferredTask[] task = new DeferredTask[1];
         task[0] = new DeferredTask(time, () -> {
             ran();
--- a/library/src/test/java/org/copperspindle/time/SuspensionWatchTest.java
+++ b/library/src/test/java/org/copperspindle/time/SuspensionWatchTest.java
@@ -9,7 +9,10 @@
 
 class SuspensionWatchTest {
 
-    /** A VM that stands still for seconds sees its monotonic clock go on where it stopped, and the time of day jump. */
+    /**
+     * After a suspension of some seconds the monotonic clock continues where it stopped, and the time of day has
+     * jumped ahead.
+     */
     @ParameterizedTest
     @CsvSource({
         "1000, 1000, false",
@@ -18,15 +21,15 @@
         "1000, 1400, true",
         "1000, -2000, false",
     })
-    void noticesThatTheTimeOfDayRanAhead(long monotonicMillis, long dayMillis, boolean stoodStill) {
+    void detectsJumpOfTimeOfDay(long monotonicMillis, long dayMillis, boolean stoodStill) {
         AtomicLong monotonic = new AtomicLong(7);
         AtomicLong day = new AtomicLong(1_000_000);
-        SuspensionWatch watch = new SuspensionWatch(monotonic::get, day::get);
+        SuspensionWatch detector = new SuspensionWatch(monotonic::get, day::get);
         monotonic.addAndGet(monotonicMillis * 1_000_000);
         day.addAndGet(dayMillis);
-        assertThat(watch.stoodStill()).isEqualTo(stoodStill);
+        assertThat(detector.stoodStill()).isEqualTo(stoodStill);
         monotonic.addAndGet(1_000_000);
         day.addAndGet(1);
-        assertThat(watch.stoodStill()).as("told once").isFalse();
+        assertThat(detector.stoodStill()).as("reported once").isFalse();
     }
 }
