--- a/library/src/main/java/org/copperspindle/replay/FaultEffect.java
+++ b/library/src/main/java/org/copperspindle/replay/FaultEffect.java
@@ -1,19 +1,25 @@
 package org.copperspindle.replay;
 
 /**
- * What a fault of a trace does to the upstreams that it names.
+ * Effect of a trace's fault on the upstreams that it selects.
  */
 public enum FaultEffect {
     /** Work takes longer by a factor. */
     SLOW,
-    /** Takes work and reports load, but finishes nothing until the fault ends. */
+    /** Accepts work and reports load, but finishes nothing until the fault ends. */
     STALL,
-    /** Process dies: connections break, new ones are refused; membership follows after the lease. */
+    /**
+     * The process crashes: connections break and new ones are refused; the upstream leaves the membership when its
+     * lease expires.
+     */
     CRASH,
-    /** Silence: nothing arrives, nothing comes back; membership follows after the lease. */
+    /**
+     * The upstream is unreachable: messages are lost in both directions; it leaves the membership when its lease
+     * expires.
+     */
     LOST,
-    /** Every attempt ends at once with status 500. */
+    /** Every attempt fails immediately with status 500. */
     ERROR,
-    /** Reported load is older than usual. */
+    /** Load reports are delayed. */
     LATE_REPORTS
 }
--- a/library/src/main/java/org/copperspindle/replay/Replay.java
+++ b/library/src/main/java/org/copperspindle/replay/Replay.java
@@ -8,7 +8,8 @@
 import org.copperspindle.time.VirtualTimerService;
 
 /**
- * Replays a trace under one policy, in virtual time. The same trace, deployment and policy give the same result.
+ * Replays a trace under one policy in virtual time. Deterministic: the same trace, deployment and policy give the
+ * same result.
  */
 public final class Replay {
 
@@ -28,7 +29,7 @@
      * @param trace      the trace
      * @param deployment deployment to replay it with
      * @param kind       policy of the entries
-     * @return what came of it
+     * @return the result
      */
     public static ReplayResult run(Trace trace, Deployment deployment, PolicyKind kind) {
         return new Replay(trace, deployment).run(kind);
@@ -39,27 +40,28 @@
         ReplayFleet fleet = new ReplayFleet(deployment, timers, tally);
         for (int i = 0; i < trace.entries(); i++) {
             ReplayEntry entry = new ReplayEntry(i, deployment, timers, fleet, kind, tally);
-            fleet.join(entry);
+            fleet.addEntry(entry);
             entries.add(entry);
         }
         List<TraceRequest> requests = trace.requests();
-        long end = requests.isEmpty() ? 0 : requests.get(requests.size() - 1).atNanos();
-        fleet.schedule(trace.faults(), end);
-        arriveNext(0);
+        long endNanos =
+                requests.isEmpty() ? 0 : requests.get(requests.size() - 1).atNanos();
+        fleet.schedule(trace.faults(), endNanos);
+        scheduleArrival(0);
         while (timers.step()) {
-            // Every step runs one due task; the replay ends when nothing is pending.
+            // Each step runs one due task; the replay ends when no task is pending.
         }
         return new ReplayResult(trace, kind, tally);
     }
 
-    private void arriveNext(int index) {
+    private void scheduleArrival(int index) {
         if (index == trace.requests().size()) {
             return;
         }
         TraceRequest request = trace.requests().get(index);
         timers.schedule(request.atNanos() - timers.nanoTime(), () -> {
             entries.get(index % entries.size()).arrive(request);
-            arriveNext(index + 1);
+            scheduleArrival(index + 1);
         });
     }
 }
--- a/library/src/main/java/org/copperspindle/replay/ReplayEntry.java
+++ b/library/src/main/java/org/copperspindle/replay/ReplayEntry.java
@@ -42,15 +42,15 @@
 import org.copperspindle.verdict.NotRunVerdict;
 
 /**
- * One entry of a replay: carries out the actions of {@link PipelineRun}s on upstream models in virtual time, as the
- * entry role does on agents.
+ * An entry of a replay: carries out the actions of {@link PipelineRun}s on upstream models in virtual time, as the
+ * entry role does with agents.
  */
 final class ReplayEntry {
 
-    private static final long SAME_DOMAIN_NANOS = 250_000;
-    private static final long OTHER_DOMAIN_NANOS = 500_000;
-    private static final long CLAIM_NANOS = 2_000_000;
-    private static final Duration COME_BACK = Duration.ofSeconds(1);
+    private static final long SAME_DOMAIN_DELAY_NANOS = 250_000;
+    private static final long OTHER_DOMAIN_DELAY_NANOS = 500_000;
+    private static final long CLAIM_DELAY_NANOS = 2_000_000;
+    private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
     private static final int MAX_IN_PROGRESS = 4096;
     private static final int PREFIX_REPEATS = 64;
     private static final int SERVER_ERROR = 500;
@@ -95,7 +95,7 @@
         fleet.upstream(upstreamId).ifPresent(view -> view.reported(inFlight));
     }
 
-    /** Lets waiting requests go on wherever an upstream may be used. */
+    /** Resumes waiting requests of all pools that have a usable upstream. */
     void resumeAll() {
         deployment.pools().keySet().stream().sorted().forEach(this::resume);
     }
@@ -110,31 +110,35 @@
         }
     }
 
-    /** Takes a request of the trace. */
-    void arrive(TraceRequest traced) {
+    /** Handles the arrival of a request of the trace. */
+    void arrive(TraceRequest traceRequest) {
         String requestId = name + "-" + nextRequest++;
-        tally.arrived(requestId, traced);
+        tally.arrived(requestId, traceRequest);
         long now = timers.nanoTime();
-        PipelineRequest request = request(requestId, traced, now);
+        PipelineRequest request = request(requestId, traceRequest, now);
         Optional<Refusal> refusal = policy.tryAdmit(request, now);
         if (refusal.isPresent()) {
             tally.answered(requestId, false, "refused-" + refusal.get().reason(), now);
             return;
         }
-        OpenRequest open = new OpenRequest(request, traced);
+        OpenRequest open = new OpenRequest(request, traceRequest);
         requests.put(requestId, open);
         open.chooser = new Chooser(open);
         open.run = new PipelineRun(request, open.chooser);
-        open.deadline = timers.schedule(traced.deadlineNanos(), () -> perform(open, open.run.onDeadline()));
+        open.deadline = timers.schedule(traceRequest.deadlineNanos(), () -> perform(open, open.run.onDeadline()));
         perform(open, open.run.start(now));
     }
 
-    private PipelineRequest request(String requestId, TraceRequest traced, long now) {
-        AccountSettings account = deployment.accounts().get(traced.account());
-        PipelineSettings pipeline = deployment.pipelines().get(traced.pipeline());
+    private PipelineRequest request(String requestId, TraceRequest traceRequest, long now) {
+        AccountSettings account = deployment.accounts().get(traceRequest.account());
+        PipelineSettings pipeline = deployment.pipelines().get(traceRequest.pipeline());
         Priority priority =
-                traced.priority().ordinal() < account.highest().ordinal() ? account.highest() : traced.priority();
-        String input = traced.prefix() == 0 ? requestId : (traced.prefix() + " ").repeat(PREFIX_REPEATS) + requestId;
+                traceRequest.priority().ordinal() < account.highest().ordinal()
+                        ? account.highest()
+                        : traceRequest.priority();
+        String input = traceRequest.prefix() == 0
+                ? requestId
+                : (traceRequest.prefix() + " ").repeat(PREFIX_REPEATS) + requestId;
         byte[] body = ("{\"input\":\"" + input + "\"}").getBytes(StandardCharsets.UTF_8);
         return new PipelineRequest(
                 requestId,
@@ -144,7 +148,7 @@
                 body,
                 new byte[0],
                 priority,
-                now + traced.deadlineNanos(),
+                now + traceRequest.deadlineNanos(),
                 false);
     }
 
@@ -156,15 +160,16 @@
         if (action instanceof PipelineAction.Dispatch dispatch) {
             dispatch(open, dispatch.order());
         } else if (action instanceof PipelineAction.Claim claim) {
-            // Keys of a trace are all new, so a claim costs its delay and is granted.
+            // All keys of a trace are new, so a claim is always granted after its delay.
             ClaimDecision granted = ClaimDecision.of(ClaimResult.GRANTED);
-            timers.schedule(CLAIM_NANOS, () -> perform(open, open.run.onClaim(granted, timers.nanoTime())));
+            timers.schedule(CLAIM_DELAY_NANOS, () -> perform(open, open.run.onClaim(granted, timers.nanoTime())));
         } else if (action instanceof PipelineAction.Cancel cancel) {
-            withdraw(cancel.attemptId());
+            withdrawAttempt(cancel.attemptId());
             cancel(cancel.attemptId(), cancel.upstreamId());
         } else if (action instanceof PipelineAction.Wait) {
-            long patience = open.chooser.enqueue(open.request, timers.nanoTime());
-            open.waiting = timers.schedule(patience, () -> perform(open, open.run.onDeadlineUnreachable(COME_BACK)));
+            long maxWaitNanos = open.chooser.enqueue(open.request, timers.nanoTime());
+            open.waiting =
+                    timers.schedule(maxWaitNanos, () -> perform(open, open.run.onDeadlineUnreachable(RETRY_AFTER)));
         } else if (action instanceof PipelineAction.Answer answer) {
             answer(open, answer.answer());
         }
@@ -188,21 +193,21 @@
             attempt.timeout = timers.schedule(timeout.getAsLong(), () -> timedOut(attempt));
         }
         UpstreamModel model = models.model(order.upstreamId());
-        long work = open.traced.workNanos().get(stage.name());
+        long work = open.traceRequest.workNanos().get(stage.name());
         long delay = delay(model);
         timers.schedule(
-                delay, () -> model.order(order, work, open.traced.prefix(), new NetworkListener(attempt, delay)));
+                delay, () -> model.order(order, work, open.traceRequest.prefix(), new NetworkListener(attempt, delay)));
     }
 
     private void timedOut(OpenAttempt attempt) {
         long now = timers.nanoTime();
-        long age = now - attempt.since;
-        boolean abandon = policy.mayAbandon(attempt.open.request, attempt.stage, attempt.view, age, now);
-        if (!abandon || !attempt.open.run.hasAttemptsLeft()) {
+        long age = now - attempt.startedNanos;
+        boolean mayAbandon = policy.mayAbandon(attempt.open.request, attempt.stage, attempt.view, age, now);
+        if (!mayAbandon || !attempt.open.run.hasAttemptsLeft()) {
             attempt.timeout = timers.schedule(age / 2, () -> timedOut(attempt));
             return;
         }
-        end(attempt, AttemptEnd.TIMED_OUT, -1);
+        finishAttempt(attempt, AttemptEnd.TIMED_OUT, -1);
         cancel(attempt.id, attempt.view.announcement().upstreamId());
         perform(attempt.open, attempt.open.run.onUnreachable(attempt.id, true, timers.nanoTime()));
     }
@@ -217,7 +222,7 @@
             return;
         }
         boolean failed = outcome.status() >= SERVER_ERROR;
-        end(attempt, failed ? AttemptEnd.FAILED : AttemptEnd.SUCCEEDED, outcome.inFlight());
+        finishAttempt(attempt, failed ? AttemptEnd.FAILED : AttemptEnd.SUCCEEDED, outcome.inFlight());
         tally.used(attempt.open.request.requestId(), failed ? 0 : cost);
         perform(attempt.open, attempt.open.run.onOutcome(outcome, timers.nanoTime()));
         resume(attempt.stage.pool());
@@ -225,7 +230,7 @@
 
     private void onLost(OpenAttempt attempt) {
         if (attempts.get(attempt.id) == attempt) {
-            end(attempt, AttemptEnd.LOST, -1);
+            finishAttempt(attempt, AttemptEnd.LOST, -1);
             perform(attempt.open, attempt.open.run.onUnreachable(attempt.id, true, timers.nanoTime()));
             resume(attempt.stage.pool());
         }
@@ -233,26 +238,26 @@
 
     private void onNotSent(OpenAttempt attempt) {
         if (attempts.get(attempt.id) == attempt) {
-            end(attempt, AttemptEnd.REFUSED, -1);
+            finishAttempt(attempt, AttemptEnd.REFUSED, -1);
             perform(attempt.open, attempt.open.run.onOutcome(notSent(attempt.id), timers.nanoTime()));
             resume(attempt.stage.pool());
         }
     }
 
-    private void end(OpenAttempt attempt, AttemptEnd how, int inFlight) {
+    private void finishAttempt(OpenAttempt attempt, AttemptEnd end, int inFlight) {
         attempts.remove(attempt.id);
         attempt.timeout.cancel();
         long now = timers.nanoTime();
         policy.ended(
                 new AttemptReport(
-                        attempt.open.request, attempt.stage, attempt.view, how, now - attempt.since, inFlight),
+                        attempt.open.request, attempt.stage, attempt.view, end, now - attempt.startedNanos, inFlight),
                 now);
     }
 
-    private void withdraw(String attemptId) {
+    private void withdrawAttempt(String attemptId) {
         OpenAttempt attempt = attempts.get(attemptId);
         if (attempt != null) {
-            end(attempt, AttemptEnd.WITHDRAWN, -1);
+            finishAttempt(attempt, AttemptEnd.WITHDRAWN, -1);
         }
     }
 
@@ -262,13 +267,13 @@
         requests.remove(open.request.requestId());
         tally.answered(
                 open.request.requestId(), answer.successful(), answer.verdict().reason(), timers.nanoTime());
-        open.run.openAttempts().forEach(this::withdraw);
+        open.run.openAttempts().forEach(this::withdrawAttempt);
         policy.release(open.request);
         resume(open.run.stage().pool());
     }
 
     private long delay(UpstreamModel model) {
-        return model.failureDomain().equals(failureDomain) ? SAME_DOMAIN_NANOS : OTHER_DOMAIN_NANOS;
+        return model.failureDomain().equals(failureDomain) ? SAME_DOMAIN_DELAY_NANOS : OTHER_DOMAIN_DELAY_NANOS;
     }
 
     private static AttemptOutcomeMessage notSent(String attemptId) {
@@ -276,7 +281,7 @@
                 attemptId, new NotRunVerdict("not-sent"), 0, "", new byte[0], false, 0, 0, -1, -1);
     }
 
-    /** Brings an attempt's end back over the network. */
+    /** Passes the end of an attempt to the entry after the network delay. */
     private final class NetworkListener implements UpstreamModel.AttemptListener {
         private final OpenAttempt attempt;
         private final long delay;
@@ -302,10 +307,10 @@
         }
     }
 
-    /** What one run asks of this entry. */
+    /** The services of this entry that one pipeline run uses. */
     private final class Chooser implements UpstreamChooser {
         private final OpenRequest open;
-        private RoutingRequest missed;
+        private RoutingRequest lastRouting;
 
         private Chooser(OpenRequest open) {
             this.open = open;
@@ -317,12 +322,12 @@
                     deployment.pools().get(stage.pool()),
                     stage,
                     failureDomain,
-                    open.traced.prefix() == 0 ? 0 : PrefixAffinity.hash(context.input()),
+                    open.traceRequest.prefix() == 0 ? 0 : PrefixAffinity.hash(context.input()),
                     tried,
                     open.request.priority(),
                     timers.nanoTime(),
                     1);
-            missed = routing;
+            lastRouting = routing;
             return policy.choose(open.request, routing, timers.nanoTime()).map(UpstreamView::announcement);
         }
 
@@ -333,7 +338,7 @@
 
         @Override
         public long enqueue(PipelineRequest request, long now) {
-            return policy.enqueue(request, missed, now);
+            return policy.enqueue(request, lastRouting, now);
         }
 
         @Override
@@ -357,36 +362,36 @@
         }
     }
 
-    /** One request in progress. */
+    /** A request in progress. */
     private static final class OpenRequest {
         private final PipelineRequest request;
-        private final TraceRequest traced;
+        private final TraceRequest traceRequest;
         private PipelineRun run;
         private TimerSubscription deadline = () -> {};
         private TimerSubscription waiting = () -> {};
         private Chooser chooser;
 
-        private OpenRequest(PipelineRequest request, TraceRequest traced) {
+        private OpenRequest(PipelineRequest request, TraceRequest traceRequest) {
             this.request = request;
-            this.traced = traced;
+            this.traceRequest = traceRequest;
         }
     }
 
-    /** One attempt in progress. */
+    /** An attempt in progress. */
     private static final class OpenAttempt {
         private final OpenRequest open;
         private final StageSettings stage;
         private final UpstreamView view;
         private final String id;
-        private final long since;
+        private final long startedNanos;
         private TimerSubscription timeout = () -> {};
 
-        private OpenAttempt(OpenRequest open, StageSettings stage, UpstreamView view, String id, long since) {
+        private OpenAttempt(OpenRequest open, StageSettings stage, UpstreamView view, String id, long startedNanos) {
             this.open = open;
             this.stage = stage;
             this.view = view;
             this.id = id;
-            this.since = since;
+            this.startedNanos = startedNanos;
         }
     }
 }
--- a/library/src/main/java/org/copperspindle/replay/ReplayFleet.java
+++ b/library/src/main/java/org/copperspindle/replay/ReplayFleet.java
@@ -16,8 +16,8 @@
 import org.copperspindle.time.VirtualTimerService;
 
 /**
- * The upstream models of one replay and their membership. An upstream that falls silent leaves the membership when its
- * lease has run out, and comes back as a new incarnation.
+ * The upstream models of one replay and their membership. An upstream that stops leaves the membership when its
+ * lease expires, and returns as a new incarnation.
  */
 final class ReplayFleet {
 
@@ -39,14 +39,14 @@
         return models.get(upstreamId);
     }
 
-    /** Joins an entry to the membership. */
-    void join(ReplayEntry entry) {
+    /** Adds an entry, which receives the membership and its updates. */
+    void addEntry(ReplayEntry entry) {
         entries.add(entry);
         List<byte[]> all = models.values().stream().map(this::announcement).toList();
         entry.onUpdate(new ControlUpdateMessage(1, 0, "", true, revision, all, List.of()));
     }
 
-    /** Schedules the faults of a trace and the heartbeats that carry load while it lasts. */
+    /** Schedules the faults of a trace and, until its end, the heartbeats that report load. */
     void schedule(List<TraceFault> faults, long endNanos) {
         for (TraceFault fault : faults) {
             timers.schedule(fault.fromNanos(), () -> apply(fault, true));
@@ -66,24 +66,24 @@
         }
     }
 
-    private void apply(TraceFault fault, boolean begins) {
-        Map<String, Integer> hitByPool = new TreeMap<>();
+    private void apply(TraceFault fault, boolean starts) {
+        Map<String, Integer> affectedByPool = new TreeMap<>();
         for (UpstreamModel model : models.values()) {
-            if (!names(fault, model)) {
+            if (!matches(fault, model)) {
                 continue;
             }
-            int hit = hitByPool.merge(model.pool().name(), 1, Integer::sum);
-            if (fault.count() > 0 && hit > fault.count()) {
+            int affected = affectedByPool.merge(model.pool().name(), 1, Integer::sum);
+            if (fault.count() > 0 && affected > fault.count()) {
                 continue;
             }
-            model.fault(fault, begins);
+            model.fault(fault, starts);
             if (fault.effect() == FaultEffect.CRASH || fault.effect() == FaultEffect.LOST) {
-                updateMembership(model, begins);
+                updateMembership(model, starts);
             }
         }
     }
 
-    private static boolean names(TraceFault fault, UpstreamModel model) {
+    private static boolean matches(TraceFault fault, UpstreamModel model) {
         boolean pool =
                 fault.pool().isEmpty() || fault.pool().equals(model.pool().name());
         boolean domain =
@@ -91,8 +91,8 @@
         return pool && domain;
     }
 
-    private void updateMembership(UpstreamModel model, boolean begins) {
-        if (begins) {
+    private void updateMembership(UpstreamModel model, boolean starts) {
+        if (starts) {
             byte[] id = model.id().getBytes(StandardCharsets.UTF_8);
             timers.schedule(LEASE_NANOS, () -> {
                 if (!model.alive()) {
--- a/library/src/main/java/org/copperspindle/replay/ReplayReport.java
+++ b/library/src/main/java/org/copperspindle/replay/ReplayReport.java
@@ -10,7 +10,8 @@
 import org.copperspindle.limits.PolicyKind;
 
 /**
- * Words the comparison of a policy with the baseline. Lines are {@code key=value}, the same bytes for the same replay.
+ * A report that compares a policy with the baseline, in lines of {@code key=value} pairs. The same replay gives the
+ * same text.
  */
 public final class ReplayReport {
 
@@ -27,11 +28,11 @@
     }
 
     /**
-     * Replays a trace under a policy and under the baseline, and checks the stated outcomes.
+     * Replays a trace under a policy and under the baseline, and checks the expected outcomes.
      *
      * @param trace      the trace
      * @param deployment deployment to replay it with
-     * @param kind       policy to judge
+     * @param kind       policy to evaluate
      * @return the report
      */
     public static ReplayReport of(Trace trace, Deployment deployment, PolicyKind kind) {
@@ -43,28 +44,30 @@
     }
 
     /**
-     * Returns the stated outcomes that were not met.
+     * Returns the expected outcomes that were not met.
      *
-     * @return their labels with what was measured
+     * @return their labels and measured values
      */
     public List<String> unmet() {
         return List.copyOf(unmet);
     }
 
     /**
-     * Returns the report.
+     * Returns the text of the report.
      *
-     * @return lines of text
+     * @return the report's lines
      */
     public String text() {
         return text.toString();
     }
 
     private void write() {
-        line("trace=%s seed=%d requests=%d policy=%s", trace.name(), trace.seed(), result.arrivals(), name(result));
+        line(
+                "trace=%s seed=%d requests=%d policy=%s",
+                trace.name(), trace.seed(), result.arrivals(), policyName(result));
         attainment(
                 "pipeline", result.attainmentBy(TraceRequest::pipeline), baseline.attainmentBy(TraceRequest::pipeline));
-        attainment("priority", lower(result), lower(baseline));
+        attainment("priority", attainmentByPriority(result), attainmentByPriority(baseline));
         attainment("account", result.attainmentBy(TraceRequest::account), baseline.attainmentBy(TraceRequest::account));
         line("attainment all value=%.4f baseline=%.4f", result.attainment(r -> true), baseline.attainment(r -> true));
         new TreeMap<>(result.costByPool())
@@ -86,18 +89,18 @@
     private void check(TraceOutcome outcome) {
         double value = result.measure(outcome, baseline);
         boolean met = outcome.met(value);
-        String words = String.format(Locale.ROOT, "%s measured %.4f", outcome.label(), value);
-        line("outcome %s: %s", met ? "met" : "NOT MET", words);
+        String summary = String.format(Locale.ROOT, "%s measured %.4f", outcome.label(), value);
+        line("outcome %s: %s", met ? "met" : "NOT MET", summary);
         if (!met) {
-            unmet.add(words);
+            unmet.add(summary);
         }
     }
 
-    private static Map<String, Double> lower(ReplayResult result) {
+    private static Map<String, Double> attainmentByPriority(ReplayResult result) {
         return result.attainmentBy(request -> request.priority().name().toLowerCase(Locale.ROOT));
     }
 
-    private static String name(ReplayResult result) {
+    private static String policyName(ReplayResult result) {
         return result.kind().name().toLowerCase(Locale.ROOT);
     }
 
--- a/library/src/main/java/org/copperspindle/replay/ReplayResult.java
+++ b/library/src/main/java/org/copperspindle/replay/ReplayResult.java
@@ -10,13 +10,13 @@
 import org.copperspindle.replay.ReplayTally.RequestTally;
 
 /**
- * What a replay showed.
+ * The measured result of a replay.
  */
 public final class ReplayResult {
 
-    private static final long WINDOW_NANOS = 2_000_000_000L;
+    private static final long RECOVERY_WINDOW_NANOS = 2_000_000_000L;
     private static final double NANOS_PER_SECOND = 1e9;
-    private static final double RECOVERED = 0.98;
+    private static final double RECOVERY_RATIO = 0.98;
 
     private final Trace trace;
     private final PolicyKind kind;
@@ -47,14 +47,14 @@
     }
 
     /**
-     * Returns the share of arrivals answered whole within their deadline.
+     * Returns the share of requests answered completely within their deadline.
      *
-     * @param which requests that count
-     * @return from 0 to 1; 1 if none counts
+     * @param filter filter of the requests to include
+     * @return a share from 0 to 1; 1 if no request is included
      */
-    public double attainment(Predicate<TraceRequest> which) {
+    public double attainment(Predicate<TraceRequest> filter) {
         return tally.requests().stream()
-                .filter(request -> which.test(request.request()))
+                .filter(request -> filter.test(request.request()))
                 .mapToInt(request -> request.attained() ? 1 : 0)
                 .average()
                 .orElse(1);
@@ -76,7 +76,7 @@
     }
 
     /**
-     * Returns cost by stage, which is by pool, in the operators' unit.
+     * Returns cost by pool, in the unit of the deployment's cost settings.
      *
      * @return cost by pool
      */
@@ -87,7 +87,7 @@
     /**
      * Returns the cost of one attained request.
      *
-     * @return in the operators' unit; infinite if none was attained
+     * @return cost in the unit of the deployment's cost settings; infinite if no request was attained
      */
     public double costPerAttained() {
         long attained = tally.requests().stream().filter(RequestTally::attained).count();
@@ -95,7 +95,7 @@
     }
 
     /**
-     * Returns the share of cost that served no attained request.
+     * Returns the share of cost that didn't contribute to an attained request.
      *
      * @return from 0 to 1
      */
@@ -113,7 +113,7 @@
     }
 
     /**
-     * Returns why requests missed.
+     * Returns the number of requests that were not attained, by reason.
      *
      * @return number of requests by reason
      */
@@ -122,22 +122,22 @@
     }
 
     /**
-     * Measures one stated outcome.
+     * Measures one expected outcome.
      *
      * @param outcome  the outcome
-     * @param baseline the same trace under the baseline policy
-     * @return the value to hold against its bounds
+     * @param baseline result of the same trace under the baseline policy
+     * @return the value to compare with the bounds
      */
     public double measure(TraceOutcome outcome, ReplayResult baseline) {
-        Predicate<TraceRequest> which = request -> matches(request, outcome);
+        Predicate<TraceRequest> filter = request -> matches(request, outcome);
         return switch (outcome.measure()) {
-            case ATTAINMENT -> attainment(which);
-            case ATTAINMENT_OF_BASELINE -> attainment(which) / Math.max(1e-9, baseline.attainment(which));
+            case ATTAINMENT -> attainment(filter);
+            case ATTAINMENT_OF_BASELINE -> attainment(filter) / Math.max(1e-9, baseline.attainment(filter));
             case COST_OF_BASELINE -> costPerAttained() / baseline.costPerAttained();
             case WASTED -> wasted();
             case EXTRA_ATTEMPTS -> extraAttempts();
-            case UNFAIRNESS -> unfairness(outcome.accounts(), which);
-            case RECOVERY -> recoverySeconds(which);
+            case UNFAIRNESS -> unfairness(outcome.accounts(), filter);
+            case RECOVERY -> recoverySeconds(filter);
         };
     }
 
@@ -147,30 +147,30 @@
                 && (outcome.accounts().isEmpty() || outcome.accounts().contains(request.account()));
     }
 
-    private double unfairness(List<String> accounts, Predicate<TraceRequest> which) {
+    private double unfairness(List<String> accounts, Predicate<TraceRequest> filter) {
         double[] shares = accounts.stream()
                 .mapToDouble(account ->
-                        attainment(which.and(request -> request.account().equals(account))))
+                        attainment(filter.and(request -> request.account().equals(account))))
                 .sorted()
                 .toArray();
         return shares.length == 0 ? 0 : shares[shares.length - 1] - shares[0];
     }
 
-    /** Looks for the first window after the last fault from which attainment is back near that of before the first. */
-    private double recoverySeconds(Predicate<TraceRequest> which) {
+    /** Finds the first window after the last fault in which attainment is near its level before the first fault. */
+    private double recoverySeconds(Predicate<TraceRequest> filter) {
         if (trace.faults().isEmpty()) {
             return 0;
         }
         long first = trace.faults().get(0).fromNanos();
         long last =
                 trace.faults().stream().mapToLong(TraceFault::untilNanos).max().orElse(0);
-        double before = attainment(which.and(request -> request.atNanos() < first));
+        double before = attainment(filter.and(request -> request.atNanos() < first));
         long end = trace.requests().get(trace.requests().size() - 1).atNanos();
-        for (long from = last; from < end; from += WINDOW_NANOS / 4) {
+        for (long from = last; from < end; from += RECOVERY_WINDOW_NANOS / 4) {
             long start = from;
-            double share = attainment(
-                    which.and(request -> request.atNanos() >= start && request.atNanos() < start + WINDOW_NANOS));
-            if (share >= before * RECOVERED) {
+            double share = attainment(filter.and(
+                    request -> request.atNanos() >= start && request.atNanos() < start + RECOVERY_WINDOW_NANOS));
+            if (share >= before * RECOVERY_RATIO) {
                 return (from - last) / NANOS_PER_SECOND;
             }
         }
--- a/library/src/main/java/org/copperspindle/replay/ReplayTally.java
+++ b/library/src/main/java/org/copperspindle/replay/ReplayTally.java
@@ -9,7 +9,7 @@
 import org.copperspindle.config.PoolSettings;
 
 /**
- * What one replay counted: how each request ended, and what was spent where.
+ * Counters of one replay: how each request ended, and the cost of each pool.
  */
 final class ReplayTally {
 
@@ -18,18 +18,18 @@
     private final List<RequestTally> requests = new ArrayList<>();
     private final Map<String, RequestTally> open = new HashMap<>();
     private final Map<String, Double> costByPool = new TreeMap<>();
-    private final Map<String, Integer> refusals = new TreeMap<>();
+    private final Map<String, Integer> missesByReason = new TreeMap<>();
     private long firstAttempts;
     private long extraAttempts;
 
-    /** Notes an arrival. */
+    /** Records an arrival. */
     void arrived(String requestId, TraceRequest request) {
         RequestTally tally = new RequestTally(request);
         requests.add(tally);
         open.put(requestId, tally);
     }
 
-    /** Notes an attempt, the first of its stage or a further one. */
+    /** Records an attempt, the first of its stage or a further one. */
     void attempted(boolean first) {
         if (first) {
             firstAttempts++;
@@ -38,7 +38,7 @@
         }
     }
 
-    /** Notes that slots of an upstream were held, and returns what that cost. */
+    /** Records that a slot of an upstream was used for a time, and returns the cost. */
     double spent(String requestId, PoolSettings pool, long nanos) {
         double cost = nanos / NANOS_PER_SECOND * pool.costPerSecond() / pool.concurrency();
         costByPool.merge(pool.name(), cost, Double::sum);
@@ -46,19 +46,19 @@
         return cost;
     }
 
-    /** Notes that the outcome of an attempt was used. */
+    /** Records the cost of an attempt whose outcome was used. */
     void used(String requestId, double cost) {
         open.get(requestId).usefulCost += cost;
     }
 
-    /** Notes the final answer. */
+    /** Records the final response. */
     void answered(String requestId, boolean successful, String reason, long now) {
         RequestTally tally = open.get(requestId);
-        long took = now - tally.request.atNanos();
+        long durationNanos = now - tally.request.atNanos();
         tally.answeredAt = now;
-        tally.attained = successful && took <= tally.request.deadlineNanos();
+        tally.attained = successful && durationNanos <= tally.request.deadlineNanos();
         if (!tally.attained) {
-            refusals.merge(successful ? "late" : reason, 1, Integer::sum);
+            missesByReason.merge(successful ? "late" : reason, 1, Integer::sum);
         }
     }
 
@@ -71,14 +71,14 @@
     }
 
     Map<String, Integer> misses() {
-        return refusals;
+        return missesByReason;
     }
 
     double cost() {
         return costByPool.values().stream().mapToDouble(Double::doubleValue).sum();
     }
 
-    /** Returns the share of cost that served no attained request. */
+    /** Returns the share of cost that didn't contribute to an attained request. */
     double wasted() {
         double useful = requests.stream()
                 .filter(tally -> tally.attained)
@@ -91,7 +91,7 @@
         return firstAttempts == 0 ? 0 : (double) extraAttempts / firstAttempts;
     }
 
-    /** How one request ended. */
+    /** The counters of one request. */
     static final class RequestTally {
         private final TraceRequest request;
         private boolean attained;
--- a/library/src/main/java/org/copperspindle/replay/Trace.java
+++ b/library/src/main/java/org/copperspindle/replay/Trace.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * One whole trace.
+ * A complete trace: requests, faults and expected outcomes.
  *
- * @param name     its name
- * @param seed     seed of every random choice of its replay
- * @param entries  entries that the platform's balancer spreads requests over
- * @param requests requests by arrival
- * @param faults   faults by start
- * @param outcomes outcomes that a replay must show
+ * @param name     name of the trace
+ * @param seed     seed of the generated requests
+ * @param entries  number of entries over which requests are distributed
+ * @param requests requests in order of arrival
+ * @param faults   faults in order of start
+ * @param outcomes outcomes that a replay must meet
  */
 public record Trace(
         String name,
--- a/library/src/main/java/org/copperspindle/replay/TraceException.java
+++ b/library/src/main/java/org/copperspindle/replay/TraceException.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 
 /**
- * A trace can't be read; the message names file and line.
+ * Thrown when a trace can't be read; the message names file and line.
  */
 public final class TraceException extends IOException {
 
@@ -12,8 +12,8 @@
     /**
      * Creates an exception.
      *
-     * @param file    the trace as the operator named it
-     * @param line    line, from 1
+     * @param file    trace file as the operator named it
+     * @param line    line number, from 1
      * @param problem what is wrong
      */
     public TraceException(String file, int line, String problem) {
--- a/library/src/main/java/org/copperspindle/replay/TraceFault.java
+++ b/library/src/main/java/org/copperspindle/replay/TraceFault.java
@@ -1,16 +1,16 @@
 package org.copperspindle.replay;
 
 /**
- * One fault of a trace.
+ * A fault of a trace: affects some upstreams for some time.
  *
  * @param fromNanos     start
  * @param untilNanos    end
- * @param effect        what happens
- * @param pool          pool that is hit, empty for all
- * @param failureDomain failure domain that is hit, empty for all
- * @param count         upstreams of each pool that are hit, in their order; 0 for all
- * @param factor        how much longer work takes, for {@link FaultEffect#SLOW}
- * @param lagNanos      age of reported load, for {@link FaultEffect#LATE_REPORTS}
+ * @param effect        effect on the upstreams
+ * @param pool          affected pool, empty for all
+ * @param failureDomain affected failure domain, empty for all
+ * @param count         number of affected upstreams in each pool, in their order; 0 for all
+ * @param factor        factor by which work takes longer, for {@link FaultEffect#SLOW}
+ * @param lagNanos      delay of load reports, for {@link FaultEffect#LATE_REPORTS}
  */
 public record TraceFault(
         long fromNanos,
--- a/library/src/main/java/org/copperspindle/replay/TraceLoad.java
+++ b/library/src/main/java/org/copperspindle/replay/TraceLoad.java
@@ -5,19 +5,19 @@
 import org.copperspindle.config.Priority;
 
 /**
- * A stream of like requests, expanded into {@link TraceRequest}s by the trace's seed: Poisson arrivals, log-normal
- * work, few prefixes that most requests share.
+ * A load of similar requests, expanded into {@link TraceRequest}s with the trace's seed: Poisson arrivals,
+ * log-normal work, and a skewed choice of prompt prefixes.
  *
  * @param fromNanos     start
  * @param untilNanos    end
- * @param perSecond     mean arrivals in a second
+ * @param perSecond     mean arrival rate per second
  * @param account       client account
  * @param pipeline      pipeline or plain service
- * @param priority      priority asked for
- * @param deadlineNanos time from arrival by which the whole answer is due
- * @param prefixes      number of distinct prefixes, 0 for none
+ * @param priority      requested priority
+ * @param deadlineNanos time from arrival to the deadline of the complete response
+ * @param prefixes      number of distinct prompt prefixes, 0 for none
  * @param workNanos     median time that each stage takes on an idle upstream, by stage name
- * @param spread        standard deviation of the logarithm of work
+ * @param spread        standard deviation of the natural logarithm of work
  */
 public record TraceLoad(
         long fromNanos,
--- a/library/src/main/java/org/copperspindle/replay/TraceOutcome.java
+++ b/library/src/main/java/org/copperspindle/replay/TraceOutcome.java
@@ -6,10 +6,10 @@
 import org.copperspindle.config.Priority;
 
 /**
- * One outcome that a trace states, checked after the replay.
+ * An expected outcome of a trace, checked after the replay.
  *
- * @param measure  what is bounded
- * @param priority only requests of this priority
+ * @param measure  the measure that is limited
+ * @param priority only requests of this priority, empty for all
  * @param pipeline only requests of this pipeline, empty for all
  * @param accounts only requests of these client accounts, empty for all
  * @param atLeast  lower bound
@@ -24,7 +24,7 @@
         Optional<Double> atMost) {
 
     /**
-     * Names the outcome as reports print it.
+     * Returns the label of the outcome in reports.
      *
      * @return for example {@code attainment priority=interactive at least 0.99}
      */
@@ -43,9 +43,9 @@
     }
 
     /**
-     * Says whether a value is within the bounds.
+     * Returns whether a value is within the bounds.
      *
-     * @param value what was measured
+     * @param value measured value
      * @return false if the outcome was not met
      */
     public boolean met(double value) {
--- a/library/src/main/java/org/copperspindle/replay/TraceReader.java
+++ b/library/src/main/java/org/copperspindle/replay/TraceReader.java
@@ -18,12 +18,12 @@
 import org.copperspindle.config.Priority;
 
 /**
- * Reads traces: one JSON object a line, the first of kind {@code trace} with the format's version. Lines of kind
- * {@code include} take the loads of another trace beside this one.
+ * Reads trace files with one JSON object per line. The first line is of kind {@code trace} and holds the version of
+ * the format. A line of kind {@code include} adds the requests and loads of another trace file in the same folder.
  */
 public final class TraceReader {
 
-    /** Version of the format that this build reads. */
+    /** Supported version of the trace format. */
     public static final int VERSION = 1;
 
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -46,7 +46,7 @@
     /**
      * Reads a trace and checks its names against a deployment.
      *
-     * @param path       the trace
+     * @param path       the trace file
      * @param deployment deployment that it is replayed with
      * @return the trace
      * @throws IOException if it can't be read; a {@link TraceException} names the line
--- a/library/src/main/java/org/copperspindle/replay/UpstreamModel.java
+++ b/library/src/main/java/org/copperspindle/replay/UpstreamModel.java
@@ -19,19 +19,19 @@
 import org.copperspindle.verdict.RanVerdict;
 
 /**
- * A small stand-in for one upstream with its agent: a number of slots, a queue before them, and a time for each
- * attempt that grows with the batch. Engines serve their queue by priority and remember prompt prefixes.
+ * A simple model of one upstream and its agent: a number of slots, a queue in front of them, and an attempt duration
+ * that grows with the number of busy slots. Engines serve their queue by priority and cache prompt prefixes.
  */
 final class UpstreamModel {
 
-    /** How much longer an attempt on an engine takes when every slot is busy. */
-    private static final double BATCH_FACTOR = 0.6;
+    /** Share by which an attempt on an engine takes longer when every slot is busy. */
+    private static final double FULL_BATCH_SLOWDOWN = 0.6;
 
-    /** Part of an engine's work that a remembered prefix saves. */
+    /** Share of an engine's work that a cached prefix saves. */
     private static final double PREFIX_SAVING = 0.3;
 
-    private static final int PREFIXES_KEPT = 48;
-    private static final long ERROR_NANOS = 1_000_000;
+    private static final int MAX_CACHED_PREFIXES = 48;
+    private static final long ERROR_DELAY_NANOS = 1_000_000;
     private static final int SERVER_ERROR = 500;
     private static final int SUCCESS = 200;
 
@@ -41,14 +41,14 @@
     private final TimerService timers;
     private final ReplayTally tally;
     private final List<Job> running = new ArrayList<>();
-    private final PriorityQueue<Job> waiting;
+    private final PriorityQueue<Job> queued;
     private final Deque<LoadSample> samples = new ArrayDeque<>();
-    private final Map<Long, Boolean> prefixes = new LinkedHashMap<>(PREFIXES_KEPT, 0.75f, true);
+    private final Map<Long, Boolean> prefixes = new LinkedHashMap<>(MAX_CACHED_PREFIXES, 0.75f, true);
     private long sequence;
     private double slowFactor = 1;
     private boolean stalled;
-    private boolean down;
-    private boolean silent;
+    private boolean crashed;
+    private boolean unreachable;
     private boolean failing;
     private long reportLagNanos;
 
@@ -60,7 +60,7 @@
         this.tally = tally;
         Comparator<Job> bySequence = Comparator.comparingLong(job -> job.sequence);
         Comparator<Job> byPriority = Comparator.comparing((Job job) -> job.order.priority());
-        this.waiting =
+        this.queued =
                 new PriorityQueue<>(pool.kind() == PoolKind.ENGINE ? byPriority.thenComparing(bySequence) : bySequence);
     }
 
@@ -76,80 +76,80 @@
         return pool;
     }
 
-    /** Takes an order; a silent upstream drops it, a dead one refuses the connection. */
+    /** Accepts an order. An unreachable upstream drops it, a crashed one refuses the connection. */
     void order(AttemptOrderMessage order, long workNanos, long prefix, AttemptListener listener) {
-        if (silent) {
+        if (unreachable) {
             return;
         }
-        if (down) {
+        if (crashed) {
             listener.onNotSent();
             return;
         }
         Job job = new Job(order, workNanos, prefix, listener, sequence++);
         if (failing) {
-            timers.schedule(ERROR_NANOS, () -> listener.onOutcome(outcome(job, SERVER_ERROR, 0), 0));
+            timers.schedule(ERROR_DELAY_NANOS, () -> listener.onOutcome(outcome(job, SERVER_ERROR, 0), 0));
             return;
         }
         if (running.size() < pool.concurrency()) {
             start(job);
         } else {
-            waiting.add(job);
+            queued.add(job);
         }
         sample();
     }
 
-    /** Cancels an attempt, running or not. */
+    /** Cancels an attempt, running or queued. */
     void cancel(String attemptId) {
-        if (silent || waiting.removeIf(job -> job.order.attemptId().equals(attemptId))) {
+        if (unreachable || queued.removeIf(job -> job.order.attemptId().equals(attemptId))) {
             return;
         }
         for (Job job : List.copyOf(running)) {
             if (job.order.attemptId().equals(attemptId)) {
                 stop(job);
-                startWaiting();
+                startQueued();
             }
         }
     }
 
-    /** Begins or ends a fault. */
-    void fault(TraceFault fault, boolean begins) {
+    /** Starts or ends a fault. */
+    void fault(TraceFault fault, boolean starts) {
         switch (fault.effect()) {
             case SLOW:
-                slowFactor = begins ? fault.factor() : 1;
+                slowFactor = starts ? fault.factor() : 1;
                 break;
             case STALL:
-                stall(begins);
+                stall(starts);
                 break;
             case ERROR:
-                failing = begins;
+                failing = starts;
                 break;
             case LATE_REPORTS:
-                reportLagNanos = begins ? fault.lagNanos() : 0;
+                reportLagNanos = starts ? fault.lagNanos() : 0;
                 break;
             case CRASH:
-                down = begins;
-                killAll(begins);
+                crashed = starts;
+                abortAll(starts);
                 break;
             case LOST:
-                silent = begins;
-                killAll(false);
+                unreachable = starts;
+                abortAll(false);
                 break;
             default:
                 throw new IllegalStateException("unknown effect " + fault.effect());
         }
     }
 
-    /** Returns whether it keeps its lease. */
+    /** Returns whether the upstream renews its lease. */
     boolean alive() {
-        return !down && !silent;
+        return !crashed && !unreachable;
     }
 
-    /** Returns the load as the agent reports it, older under a fault. */
+    /** Returns the load as the agent reports it, which is delayed during a {@code LATE_REPORTS} fault. */
     int reportedInFlight() {
-        long then = timers.nanoTime() - reportLagNanos;
+        long reportedNanos = timers.nanoTime() - reportLagNanos;
         int value = samples.isEmpty() ? 0 : samples.peek().inFlight;
         for (LoadSample sample : samples) {
-            if (sample.at > then) {
+            if (sample.at > reportedNanos) {
                 break;
             }
             value = sample.inFlight;
@@ -159,43 +159,43 @@
 
     private void start(Job job) {
         running.add(job);
-        job.startedAt = timers.nanoTime();
+        job.startedNanos = timers.nanoTime();
         double factor = slowFactor;
         if (pool.kind() == PoolKind.ENGINE) {
-            factor *= 1 + BATCH_FACTOR * running.size() / pool.concurrency();
-            factor *= remembered(job.prefix) ? 1 - PREFIX_SAVING : 1;
+            factor *= 1 + FULL_BATCH_SLOWDOWN * running.size() / pool.concurrency();
+            factor *= cachePrefix(job.prefix) ? 1 - PREFIX_SAVING : 1;
         }
-        job.remaining = (long) (job.workNanos * factor);
+        job.remainingNanos = (long) (job.workNanos * factor);
         if (!stalled) {
             run(job);
         }
     }
 
-    private boolean remembered(long prefix) {
+    private boolean cachePrefix(long prefix) {
         if (prefix == 0) {
             return false;
         }
-        boolean known = prefixes.put(prefix, true) != null;
-        if (prefixes.size() > PREFIXES_KEPT) {
+        boolean cached = prefixes.put(prefix, true) != null;
+        if (prefixes.size() > MAX_CACHED_PREFIXES) {
             prefixes.remove(prefixes.keySet().iterator().next());
         }
-        return known;
+        return cached;
     }
 
     private void run(Job job) {
-        job.endsAt = timers.nanoTime() + job.remaining;
-        job.end = timers.schedule(job.remaining, () -> finish(job));
+        job.endNanos = timers.nanoTime() + job.remainingNanos;
+        job.end = timers.schedule(job.remainingNanos, () -> finish(job));
     }
 
     private void finish(Job job) {
         double cost = stop(job);
-        startWaiting();
-        job.listener.onOutcome(outcome(job, SUCCESS, timers.nanoTime() - job.startedAt), cost);
+        startQueued();
+        job.listener.onOutcome(outcome(job, SUCCESS, timers.nanoTime() - job.startedNanos), cost);
     }
 
-    private void startWaiting() {
-        while (running.size() < pool.concurrency() && !waiting.isEmpty()) {
-            start(waiting.poll());
+    private void startQueued() {
+        while (running.size() < pool.concurrency() && !queued.isEmpty()) {
+            start(queued.poll());
         }
         sample();
     }
@@ -203,39 +203,39 @@
     private double stop(Job job) {
         running.remove(job);
         job.end.cancel();
-        return tally.spent(job.order.requestId(), pool, timers.nanoTime() - job.startedAt);
+        return tally.spent(job.order.requestId(), pool, timers.nanoTime() - job.startedNanos);
     }
 
-    private void stall(boolean begins) {
-        stalled = begins;
+    private void stall(boolean starts) {
+        stalled = starts;
         for (Job job : running) {
-            if (begins) {
+            if (starts) {
                 job.end.cancel();
-                job.remaining = Math.max(0, job.endsAt - timers.nanoTime());
+                job.remainingNanos = Math.max(0, job.endNanos - timers.nanoTime());
             } else {
                 run(job);
             }
         }
     }
 
-    private void killAll(boolean told) {
-        List<Job> killed = new ArrayList<>(running);
-        killed.forEach(this::stop);
-        killed.addAll(waiting);
-        waiting.clear();
+    private void abortAll(boolean notify) {
+        List<Job> aborted = new ArrayList<>(running);
+        aborted.forEach(this::stop);
+        aborted.addAll(queued);
+        queued.clear();
         prefixes.clear();
         sample();
-        if (told) {
-            killed.forEach(job -> job.listener.onLost());
+        if (notify) {
+            aborted.forEach(job -> job.listener.onLost());
         }
     }
 
     private void sample() {
-        samples.add(new LoadSample(timers.nanoTime(), running.size() + waiting.size()));
-        long then = timers.nanoTime() - reportLagNanos;
+        samples.add(new LoadSample(timers.nanoTime(), running.size() + queued.size()));
+        long reportedNanos = timers.nanoTime() - reportLagNanos;
         while (samples.size() > 1) {
             LoadSample first = samples.poll();
-            if (samples.peek().at > then) {
+            if (samples.peek().at > reportedNanos) {
                 samples.addFirst(first);
                 return;
             }
@@ -268,13 +268,13 @@
         };
     }
 
-    /** Hears how an attempt ended, at the upstream; the network's delay is the listener's. */
+    /** Notified when an attempt ends at the upstream, without network delay. */
     interface AttemptListener {
 
-        /** It ended with an outcome that cost something. */
+        /** The attempt ended with an outcome at the given cost. */
         void onOutcome(AttemptOutcomeMessage outcome, double cost);
 
-        /** The connection broke while it was open. */
+        /** The connection broke during the attempt. */
         void onLost();
 
         /** The connection was refused. */
@@ -290,9 +290,9 @@
         private final AttemptListener listener;
         private final long sequence;
         private TimerSubscription end = () -> {};
-        private long startedAt;
-        private long endsAt;
-        private long remaining;
+        private long startedNanos;
+        private long endNanos;
+        private long remainingNanos;
 
         private Job(AttemptOrderMessage order, long workNanos, long prefix, AttemptListener listener, long sequence) {
             this.order = order;
--- a/library/src/main/java/org/copperspindle/replay/package-info.java
+++ b/library/src/main/java/org/copperspindle/replay/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Replay of recorded traces against stated outcomes, in virtual time.
+ * Replay of traces in virtual time, with checks of the expected outcomes.
  */
 package org.copperspindle.replay;
--- a/library/src/test/java/org/copperspindle/replay/FaultReplayTest.java
+++ b/library/src/test/java/org/copperspindle/replay/FaultReplayTest.java
@@ -69,12 +69,12 @@
     }
 
     /**
-     * Every engine fails each attempt, or is slow by ten, at once. Callers see misses either way; retries without a
-     * budget would triple the load just then, and keep it up after the fault.
+     * All engines fail every attempt, are ten times slower, or stall at the same time. Requests miss their deadlines
+     * anyway; retries without a budget would triple the load during the fault and prolong the overload after it.
      */
     @ParameterizedTest
     @ValueSource(strings = {"error", "slow", "stall"})
-    void everyEngineInTroubleCausesNoRetryStorm(String effect) throws Exception {
+    void faultOfAllEnginesCausesNoRetryStorm(String effect) throws Exception {
         Trace trace = trace(fault(effect, 0, 5, 15));
 
         ReplayResult result = Replay.run(trace, deployment, PolicyKind.ADAPTIVE);
@@ -85,8 +85,9 @@
     }
 
     /**
-     * One engine of four takes work and ends nothing. Its agent still answers, so only time shows it; a caller whose
-     * attempt is there must be served elsewhere, and later ones must not be sent there.
+     * One of four engines accepts work and finishes nothing. Its agent still responds, so only the attempt duration
+     * shows the fault. Requests with an attempt there must be retried elsewhere, and later ones must not be sent
+     * there.
      */
     @Test
     void stalledEngineCostsInteractiveCallersLittle() throws Exception {
@@ -99,11 +100,11 @@
     }
 
     /**
-     * Batch work for three times the engines' capacity arrives. Interactive callers must not see it, and what can't be
-     * done is refused before it has cost anything, rather than run and miss.
+     * Batch work of three times the engines' capacity arrives. Interactive requests must not be affected, and batch
+     * requests that would miss their deadline must be refused before they cost anything.
      */
     @Test
-    void floodOfBatchWorkLeavesInteractiveCallersAlone() throws Exception {
+    void batchOverloadDoesNotAffectInteractiveRequests() throws Exception {
         Trace trace = trace(
                 "{\"kind\":\"load\",\"from_s\":5,\"to_s\":15,\"per_s\":30,\"account\":\"desk\",\"pipeline\":\"review\","
                         + "\"work_ms\":{\"generate\":1000}}\n");
--- a/library/src/test/java/org/copperspindle/replay/ReplayTest.java
+++ b/library/src/test/java/org/copperspindle/replay/ReplayTest.java
@@ -30,7 +30,7 @@
 
     @ParameterizedTest
     @EnumSource(PolicyKind.class)
-    void sameSeedGivesTheSameBytes(PolicyKind kind) throws Exception {
+    void sameSeedGivesTheSameReport(PolicyKind kind) throws Exception {
         Trace trace = read(HEAD + LOAD + STALL);
 
         String first = ReplayReport.of(trace, deployment(), kind).text();
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void namesEachOutcomeThatIsNotMet() throws Exception {
+    void reportsEachOutcomeThatIsNotMet() throws Exception {
         Trace trace = read(HEAD + LOAD + "{\"kind\":\"outcome\",\"measure\":\"attainment\",\"at_least\":1.01}\n"
                 + "{\"kind\":\"outcome\",\"measure\":\"wasted\",\"at_most\":1}\n");
 
