--- a/benchmarks/src/main/java/org/copperspindle/benchmarks/ConfigReadingCost.java
+++ b/benchmarks/src/main/java/org/copperspindle/benchmarks/ConfigReadingCost.java
@@ -31,7 +31,7 @@
         int rounds = Integer.parseInt(arguments[1]);
         byte[] before = text(accounts, 50);
         byte[] after = text(accounts, 60);
-        String string = ConfigPatch.string(after);
+        String string = ConfigPatch.decodeUtf8(after);
         ConfigPatch patch = ConfigPatch.between(1, before, 2, after);
         byte[] deflated = ConfigText.deflate(after);
         System.out.printf("text_bytes=%d deflated_bytes=%d%n", after.length, deflated.length);
@@ -42,7 +42,7 @@
         measure("inflate", rounds, () -> ConfigText.inflate(deflated));
         measure("read-ini", rounds, () -> SettingsFile.parse("text", string));
         measure("read-and-check", rounds, () -> DeploymentLoader.parse("text", string));
-        measure("audit-difference", rounds, () -> ConfigDifference.between(ConfigPatch.string(before), string));
+        measure("audit-difference", rounds, () -> ConfigDifference.between(ConfigPatch.decodeUtf8(before), string));
     }
 
     private static void measure(String step, int rounds, Step work) throws Exception {
@@ -61,12 +61,12 @@
         StringBuilder text = new StringBuilder("[deployment]\nname = rollout\nfailure-domains = north\n"
                 + "[pool gallery]\nkind = service\nsize = 4\n[service install]\npool = gallery\n");
         for (int i = 0; i < accounts; i++) {
-            byte[] digest = ConfigText.digest(ConfigText.bytes("key " + i));
+            byte[] digest = ConfigText.digest(ConfigText.encodeUtf8("key " + i));
             text.append("[account account-").append(i).append("]\nkey-sha256 = ");
             text.append(HexFormat.of().formatHex(digest)).append("\nrate-per-second = ");
             text.append(i == accounts / 2 ? rate : 50).append("\npipelines = install\n");
         }
-        return ConfigText.bytes(text.toString());
+        return ConfigText.encodeUtf8(text.toString());
     }
 
     /** One step of the path. */
--- a/benchmarks/src/main/java/org/copperspindle/benchmarks/ConfigRolloutMeasurement.java
+++ b/benchmarks/src/main/java/org/copperspindle/benchmarks/ConfigRolloutMeasurement.java
@@ -147,11 +147,11 @@
         StringBuilder text = new StringBuilder("[deployment]\nname = rollout\nfailure-domains = north\n"
                 + "[pool gallery]\nkind = service\nsize = 4\n[service install]\npool = gallery\n");
         for (int i = 0; i < accounts; i++) {
-            byte[] digest = ConfigText.digest(ConfigText.bytes("key " + i));
+            byte[] digest = ConfigText.digest(ConfigText.encodeUtf8("key " + i));
             text.append("[account account-").append(i).append("]\nkey-sha256 = ");
             text.append(java.util.HexFormat.of().formatHex(digest)).append("\nrate-per-second = ");
             text.append(i == change % accounts ? 100 + change : 50).append("\npipelines = install\n");
         }
-        return ConfigText.bytes(text.toString());
+        return ConfigText.encodeUtf8(text.toString());
     }
 }
--- a/benchmarks/src/main/java/org/copperspindle/benchmarks/RoutingDecision.java
+++ b/benchmarks/src/main/java/org/copperspindle/benchmarks/RoutingDecision.java
@@ -102,7 +102,7 @@
         }
         fleet.update(new ControlUpdateMessage(1, 0, "", true, 1, announcements, List.of()));
         SplittableRandom random = new SplittableRandom(1);
-        fleet.pool(POOL).forEach(view -> view.reported(random.nextInt(SLOTS)));
+        fleet.pool(POOL).forEach(view -> view.onLoadReport(random.nextInt(SLOTS)));
         PoolSettings pool =
                 new PoolSettings(POOL, PoolKind.ENGINE, size, List.of("d0"), List.of(MODEL), SLOTS, 1, false, false);
         StageSettings stage = new StageSettings("generate", POOL, MODEL, true, "");
--- a/emulator/src/main/java/org/copperspindle/emulator/EndMoment.java
+++ b/emulator/src/main/java/org/copperspindle/emulator/CrashMoment.java
@@ -3,7 +3,7 @@
 /**
  * When an upstream ends by a request that it runs.
  */
-public enum EndMoment {
+public enum CrashMoment {
     /** As soon as it has read the request. */
     AT_ONCE,
     /** After two events of a stream. */
--- a/emulator/src/main/java/org/copperspindle/emulator/ScriptedUpstream.java
+++ b/emulator/src/main/java/org/copperspindle/emulator/ScriptedUpstream.java
@@ -71,13 +71,13 @@
      * @param moment    when it ends
      * @param otherwise answers all other requests
      */
-    public void endOn(String fatal, EndMoment moment, Script otherwise) {
+    public void crashOn(String fatal, CrashMoment moment, Script otherwise) {
         follow((n, request, connection, out) -> {
             if (!request.body().equals(fatal)) {
                 otherwise.answer(n, request, connection, out);
                 return;
             }
-            if (moment == EndMoment.IN_THE_STREAM) {
+            if (moment == CrashMoment.IN_THE_STREAM) {
                 String begun = ScriptedStream.head(request)
                         + ScriptedStream.chunk("id: 1\ndata: e\n\n")
                         + ScriptedStream.chunk("id: 2\ndata: e\n\n");
@@ -92,7 +92,7 @@
      *
      * @return true once nothing listens at its address
      */
-    public boolean hasEnded() {
+    public boolean hasCrashed() {
         return server.isClosed();
     }
 
--- a/library/src/main/java/org/copperspindle/agent/AgentLimits.java
+++ b/library/src/main/java/org/copperspindle/agent/AgentLimits.java
@@ -12,8 +12,8 @@
  * @param maxResponse  most bytes of one response; below the largest frame of the wire protocol
  * @param maxDeadline  longest time left of an order; not below the longest deadline of the deployment
  * @param maxClockAge  greatest age of the clock reading of an order
- * @param keep         how long outcomes of unrepeatable attempts are kept after their end
- * @param linger       time after its deadline at which an unrepeatable attempt is aborted
+ * @param retention         how long outcomes of unrepeatable attempts are kept after their end
+ * @param abortGrace       time after its deadline at which an unrepeatable attempt is aborted
  * @param drainWait    longest wait of a draining agent for its outcomes to be acknowledged
  */
 public record AgentLimits(
@@ -24,8 +24,8 @@
         int maxResponse,
         Duration maxDeadline,
         Duration maxClockAge,
-        Duration keep,
-        Duration linger,
+        Duration retention,
+        Duration abortGrace,
         Duration drainWait) {
 
     /** Default limits, with which an agent fits into 128 MiB. */
@@ -50,11 +50,11 @@
     }
 
     long retentionMicros() {
-        return micros(keep);
+        return micros(retention);
     }
 
     long abortGraceMicros() {
-        return micros(linger);
+        return micros(abortGrace);
     }
 
     private static long micros(Duration duration) {
--- a/library/src/main/java/org/copperspindle/agent/AttemptRunner.java
+++ b/library/src/main/java/org/copperspindle/agent/AttemptRunner.java
@@ -68,7 +68,7 @@
      * bounded by the running attempts.
      */
     private void handOver(AttemptOrderMessage order, ResponseRelay.RelayedResponse response) {
-        ring.offerUntilTaken(
+        ring.offerWithRetry(
                 () -> {
                     aborts.remove(order.attemptId());
                     onEnded.accept(response);
--- a/library/src/main/java/org/copperspindle/agent/EngineOrderCaller.java
+++ b/library/src/main/java/org/copperspindle/agent/EngineOrderCaller.java
@@ -33,10 +33,10 @@
                 MAX_RESPONSE,
                 request.fencingNumber());
         client.call(
-                call, new StatusListener(status -> handOver(callback, status), () -> handOver(callback, NO_ANSWER)));
+                call, new StatusListener(status -> handOver(callback, status), () -> handOver(callback, NO_RESPONSE)));
     }
 
     private void handOver(Consumer<Integer> callback, int status) {
-        ring.offerUntilTaken(() -> callback.accept(status), client.scheduler());
+        ring.offerWithRetry(() -> callback.accept(status), client.scheduler());
     }
 }
--- a/library/src/main/java/org/copperspindle/agent/UpstreamProbe.java
+++ b/library/src/main/java/org/copperspindle/agent/UpstreamProbe.java
@@ -78,7 +78,7 @@
 
     /** Hands the result of a probe over to the ring; called on the network thread, which never blocks on the ring. */
     private void report(ProbeResult seen) {
-        ring.offerUntilTaken(() -> onResult(seen), client.scheduler());
+        ring.offerWithRetry(() -> onResult(seen), client.scheduler());
     }
 
     private void onResult(ProbeResult seen) {
--- a/library/src/main/java/org/copperspindle/audit/AuditDoor.java
+++ b/library/src/main/java/org/copperspindle/audit/AuditEndpoint.java
@@ -17,7 +17,7 @@
  * HTTP endpoint {@code GET /v1/audit?after=N&limit=M} of a control member: returns one page of its audit trail. Records
  * are sent as they were hashed, so that the reader can verify the chain itself.
  */
-public final class AuditDoor implements HttpRequestHandler {
+public final class AuditEndpoint implements HttpRequestHandler {
 
     /** Request path of this endpoint. */
     public static final String PATH = "/v1/audit";
@@ -36,7 +36,7 @@
      * @param head  returns the head of the chain; called on the ring
      * @param store store of the trail's files
      */
-    public AuditDoor(DecisionRing ring, Supplier<AuditHead> head, AuditStore store) {
+    public AuditEndpoint(DecisionRing ring, Supplier<AuditHead> head, AuditStore store) {
         this.ring = ring;
         this.head = head;
         this.store = store;
--- a/library/src/main/java/org/copperspindle/audit/AuditEntry.java
+++ b/library/src/main/java/org/copperspindle/audit/AuditEntry.java
@@ -45,7 +45,7 @@
     }
 
     private void write(FieldWriter out) {
-        out.put(1, kind.word())
+        out.put(1, kind.label())
                 .put(2, actor)
                 .put(3, subject)
                 .put(4, baseVersion)
--- a/library/src/main/java/org/copperspindle/audit/AuditKind.java
+++ b/library/src/main/java/org/copperspindle/audit/AuditKind.java
@@ -22,18 +22,18 @@
      *
      * @return the label, in lower case with hyphens
      */
-    public String word() {
+    public String label() {
         return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
     /**
      * Finds a kind by its label.
      *
-     * @param word what {@link #word()} returns
+     * @param label what {@link #label()} returns
      * @return the kind
      * @throws IllegalArgumentException if no kind has this label
      */
-    public static AuditKind of(String word) {
-        return valueOf(word.toUpperCase(Locale.ROOT).replace('-', '_'));
+    public static AuditKind of(String label) {
+        return valueOf(label.toUpperCase(Locale.ROOT).replace('-', '_'));
     }
 }
--- a/library/src/main/java/org/copperspindle/audit/AuditPart.java
+++ b/library/src/main/java/org/copperspindle/audit/AuditPart.java
@@ -42,7 +42,7 @@
      * @param proposedTerm   term in which it was proposed
      * @param proposedMillis wall clock of the proposer, in milliseconds since 1970
      */
-    public void under(long proposedTerm, long proposedMillis) {
+    public void setOrigin(long proposedTerm, long proposedMillis) {
         term = proposedTerm;
         atMillis = proposedMillis;
     }
--- a/library/src/main/java/org/copperspindle/backpressure/LimitRecord.java
+++ b/library/src/main/java/org/copperspindle/backpressure/LimitRecord.java
@@ -30,7 +30,7 @@
     }
 
     static LimitRecord decode(byte[] bytes) {
-        return CODEC.decodePart(bytes);
+        return CODEC.decodeNested(bytes);
     }
 
     private void write(FieldWriter out) {
--- a/library/src/main/java/org/copperspindle/backpressure/UpstreamBackoffs.java
+++ b/library/src/main/java/org/copperspindle/backpressure/UpstreamBackoffs.java
@@ -8,7 +8,7 @@
 import org.apache.logging.log4j.Logger;
 import org.copperspindle.discovery.UpstreamDirectory;
 import org.copperspindle.discovery.UpstreamRecord;
-import org.copperspindle.measure.DecisionLog;
+import org.copperspindle.measure.LogRateLimiter;
 
 /**
  * Upstreams that requested a backoff from this node. Each upstream asks every node separately, so backoffs are not
@@ -28,7 +28,7 @@
     private static final int MAX_LIMITED_IN_FLIGHT = 32;
 
     private final UpstreamDirectory directory;
-    private final DecisionLog log;
+    private final LogRateLimiter log;
     private final Map<String, Backoff> backoffs = new HashMap<>();
 
     /**
@@ -37,7 +37,7 @@
      * @param directory the upstreams
      * @param log       limits the rate of log lines
      */
-    public UpstreamBackoffs(UpstreamDirectory directory, DecisionLog log) {
+    public UpstreamBackoffs(UpstreamDirectory directory, LogRateLimiter log) {
         this.directory = directory;
         this.log = log;
         directory.subscribe(this::upstreamChanged);
@@ -56,7 +56,7 @@
             onBackoffRequested(upstream, requested, now);
         } else if (signal instanceof BackoffSignal.Absent && taken) {
             onRequestTaken(upstream, now);
-        } else if (signal instanceof BackoffSignal.Unreadable unreadable && log.takesFailed(now)) {
+        } else if (signal instanceof BackoffSignal.Unreadable unreadable && log.allowsFailed(now)) {
             LOGGER.warn("event=upstream-rest-unreadable upstream={} value=\"{}\"", upstream, unreadable.text());
         }
     }
@@ -124,7 +124,7 @@
         // Responses can arrive out of order: a shorter backoff that is read later does not end a longer one.
         long until = now + Math.max(requested.duration().toNanos(), backoffNanos(upstream, now));
         backoffs.put(upstream, new Backoff(until, known.get().incarnation(), INITIAL_IN_FLIGHT));
-        if (log.takesFailed(now)) {
+        if (log.allowsFailed(now)) {
             LOGGER.info(
                     "event=upstream-rest upstream={} rest_ms={}",
                     upstream,
--- a/library/src/main/java/org/copperspindle/backpressure/UpstreamLimits.java
+++ b/library/src/main/java/org/copperspindle/backpressure/UpstreamLimits.java
@@ -13,7 +13,7 @@
 import org.apache.logging.log4j.Logger;
 import org.copperspindle.discovery.UpstreamDirectory;
 import org.copperspindle.discovery.UpstreamRecord;
-import org.copperspindle.measure.DecisionLog;
+import org.copperspindle.measure.LogRateLimiter;
 
 /**
  * The limits that upstreams have announced to this node or to others. A limit is valid until a response to a call
@@ -30,7 +30,7 @@
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
     private final UpstreamDirectory directory;
-    private final DecisionLog log;
+    private final LogRateLimiter log;
     private final Map<String, Limit> limits = new HashMap<>();
     private final List<Consumer<String>> listeners = new ArrayList<>();
 
@@ -40,7 +40,7 @@
      * @param directory the upstreams
      * @param log       limits the rate of log lines
      */
-    public UpstreamLimits(UpstreamDirectory directory, DecisionLog log) {
+    public UpstreamLimits(UpstreamDirectory directory, LogRateLimiter log) {
         this.directory = directory;
         this.log = log;
         directory.subscribe(this::upstreamChanged);
@@ -68,7 +68,7 @@
             onAnnouncement(upstream, OptionalDouble.of(named.perSecond()), now);
         } else if (signal instanceof LimitSignal.Absent && isOutdatedBy(upstream, sentAt)) {
             onAnnouncement(upstream, OptionalDouble.empty(), now);
-        } else if (signal instanceof LimitSignal.Unreadable unreadable && log.takesFailed(now)) {
+        } else if (signal instanceof LimitSignal.Unreadable unreadable && log.allowsFailed(now)) {
             LOGGER.warn("event=upstream-limit-unreadable upstream={} value=\"{}\"", upstream, unreadable.text());
         }
     }
--- a/library/src/main/java/org/copperspindle/batch/BatchService.java
+++ b/library/src/main/java/org/copperspindle/batch/BatchService.java
@@ -14,7 +14,7 @@
 import org.apache.logging.log4j.Logger;
 import org.copperspindle.discovery.UpstreamDirectory;
 import org.copperspindle.discovery.UpstreamRecord;
-import org.copperspindle.measure.DecisionLog;
+import org.copperspindle.measure.LogRateLimiter;
 import org.copperspindle.mesh.MeshListener;
 import org.copperspindle.mesh.MeshNode;
 import org.copperspindle.mesh.MeshRelay;
@@ -74,7 +74,7 @@
     private final StagePort port;
     private final Function<String, Optional<BatchLimits>> limits;
     private final DispatcherStatus status;
-    private final DecisionLog log;
+    private final LogRateLimiter log;
     private final Map<String, PoolDispatcher> dispatchers = new HashMap<>();
     private final Map<String, Load> loads = new HashMap<>();
     private final ExpectedPieces expectedPieces = new ExpectedPieces();
@@ -111,7 +111,7 @@
             StagePort port,
             Function<String, Optional<BatchLimits>> limits,
             DispatcherStatus status,
-            DecisionLog log) {
+            LogRateLimiter log) {
         this.mesh = relay.mesh();
         this.relay = relay;
         this.timers = timers;
@@ -176,7 +176,7 @@
      * @param pool    pool that produced them
      * @param handles their handles
      */
-    public void free(String pool, List<String> handles) {
+    public void releaseResults(String pool, List<String> handles) {
         String owner = dispatcherNode(pool);
         if (handles.isEmpty()) {
             return;
@@ -184,7 +184,7 @@
         if (owner.equals(mesh.self())) {
             dispatcher(pool).free(handles);
         } else {
-            relay.send(owner, new FreeResultsMessage(pool, handles));
+            relay.send(owner, new ReleaseResultsMessage(pool, handles));
         }
     }
 
@@ -276,7 +276,7 @@
             dispatcher(group.pool()).add(node.address(), group);
         } else if (message instanceof PieceCancelMessage cancel) {
             dispatchers.values().forEach(d -> d.cancel(node.address(), cancel.group()));
-        } else if (message instanceof FreeResultsMessage free) {
+        } else if (message instanceof ReleaseResultsMessage free) {
             dispatcher(free.pool()).free(free.handles());
         } else if (message instanceof PieceResultsMessage results) {
             onResults(node.address(), results);
@@ -502,7 +502,7 @@
                         .ifPresent(pool -> byPool.computeIfAbsent(pool, p -> new ArrayList<>())
                                 .add(handle));
             }
-            byPool.forEach(BatchService.this::free);
+            byPool.forEach(BatchService.this::releaseResults);
         }
     }
 
--- a/library/src/main/java/org/copperspindle/batch/PieceResult.java
+++ b/library/src/main/java/org/copperspindle/batch/PieceResult.java
@@ -21,7 +21,7 @@
     }
 
     static PieceResult decode(byte[] bytes) {
-        return CODEC.decodePart(bytes);
+        return CODEC.decodeNested(bytes);
     }
 
     private void write(FieldWriter out) {
--- a/library/src/main/java/org/copperspindle/batch/PoolDispatcher.java
+++ b/library/src/main/java/org/copperspindle/batch/PoolDispatcher.java
@@ -14,7 +14,7 @@
 import org.apache.logging.log4j.Logger;
 import org.copperspindle.discovery.UpstreamDirectory;
 import org.copperspindle.discovery.UpstreamRecord;
-import org.copperspindle.measure.DecisionLog;
+import org.copperspindle.measure.LogRateLimiter;
 import org.copperspindle.route.BatchLimits;
 import org.copperspindle.time.DeferredTask;
 import org.copperspindle.time.TimerService;
@@ -52,7 +52,7 @@
     private final StagePort port;
     private final Supplier<Optional<BatchLimits>> limits;
     private final ResultSink sink;
-    private final DecisionLog log;
+    private final LogRateLimiter log;
     private final PieceQueue queue = new PieceQueue();
     private final PoolUpstreams upstreams;
     private final Map<WaitingGroup, Integer> running = new HashMap<>();
@@ -70,7 +70,7 @@
             StagePort port,
             Supplier<Optional<BatchLimits>> limits,
             ResultSink sink,
-            DecisionLog log) {
+            LogRateLimiter log) {
         this.pool = pool;
         this.directory = directory;
         this.timers = timers;
@@ -242,7 +242,7 @@
                 .distinct()
                 .forEach(group -> releaseInputsOnceFetched(group, now, fetchNanos));
         long timeout = upstream.timeoutNanos(expected) / NANOS_PER_MILLI + FETCH_ALLOWANCE.toMillis();
-        if (log.takesServed(now)) {
+        if (log.allowsServed(now)) {
             LOGGER.info(
                     "event=stage-call pool={} upstream={} pieces={} waiting={} room_left={} requests={}",
                     pool,
@@ -382,7 +382,7 @@
         long missedCount = outcomes.stream()
                 .filter(outcome -> outcome.isMissedFor(MissReason.NO_ROOM))
                 .count();
-        if (missedCount > 0 && log.takesFailed(now)) {
+        if (missedCount > 0 && log.allowsFailed(now)) {
             LOGGER.info(
                     "event=stage-call-without-room pool={} upstream={} pieces={} missed={} room_left={}",
                     pool,
--- a/library/src/main/java/org/copperspindle/batch/FreeResultsMessage.java
+++ b/library/src/main/java/org/copperspindle/batch/ReleaseResultsMessage.java
@@ -13,14 +13,14 @@
  * @param pool    pool that produced them
  * @param handles their handles
  */
-public record FreeResultsMessage(String pool, List<String> handles) implements WireMessage {
+public record ReleaseResultsMessage(String pool, List<String> handles) implements WireMessage {
 
     /** Codec of this message. */
-    public static final MessageCodec<FreeResultsMessage> CODEC =
-            MessageCodec.of(234, FreeResultsMessage.class, FreeResultsMessage::write, FreeResultsMessage::read);
+    public static final MessageCodec<ReleaseResultsMessage> CODEC = MessageCodec.of(
+            234, ReleaseResultsMessage.class, ReleaseResultsMessage::write, ReleaseResultsMessage::read);
 
     /** Copies the list. */
-    public FreeResultsMessage {
+    public ReleaseResultsMessage {
         handles = List.copyOf(handles);
     }
 
@@ -28,7 +28,7 @@
         out.put(1, pool).putStrings(2, handles);
     }
 
-    private static FreeResultsMessage read(FieldReader in) {
-        return new FreeResultsMessage(in.getString(1), in.getStrings(2));
+    private static ReleaseResultsMessage read(FieldReader in) {
+        return new ReleaseResultsMessage(in.getString(1), in.getStrings(2));
     }
 }
--- a/library/src/main/java/org/copperspindle/batch/ResultReleaser.java
+++ b/library/src/main/java/org/copperspindle/batch/ResultReleaser.java
@@ -63,7 +63,7 @@
             // An evacuated upstream gets no further calls; its results expire by themselves.
             if (!handles.isEmpty() && upstreams.isReady(upstream)) {
                 upstreams.recordRelease(upstream);
-                port.free(upstream.announced(), handles, () -> {
+                port.releaseResults(upstream.announced(), handles, () -> {
                     upstream.onReleased(handles);
                     onMemoryFreed.run();
                 });
--- a/library/src/main/java/org/copperspindle/batch/StagePort.java
+++ b/library/src/main/java/org/copperspindle/batch/StagePort.java
@@ -27,5 +27,5 @@
      * @param handles  their handles
      * @param ended    called once the upstream has answered or is not expected to answer any more
      */
-    void free(UpstreamRecord upstream, List<String> handles, Runnable ended);
+    void releaseResults(UpstreamRecord upstream, List<String> handles, Runnable ended);
 }
--- a/library/src/main/java/org/copperspindle/config/AccountSettings.java
+++ b/library/src/main/java/org/copperspindle/config/AccountSettings.java
@@ -10,7 +10,7 @@
  * @param keyDigest     SHA-256 of its bearer key, in lower-case hexadecimal; the key itself is never stored
  * @param weight        share of capacity relative to other accounts of the same priority
  * @param ratePerSecond permitted requests per second over the whole fleet
- * @param highest       highest priority that its requests may have
+ * @param highestPriority       highest priority that its requests may have
  * @param maxDeadline   longest deadline that its requests may set
  * @param pipelines     pipelines and services that it may call
  */
@@ -19,6 +19,6 @@
         String keyDigest,
         double weight,
         double ratePerSecond,
-        Priority highest,
+        Priority highestPriority,
         Duration maxDeadline,
         List<String> pipelines) {}
--- a/library/src/main/java/org/copperspindle/config/ConfigHistory.java
+++ b/library/src/main/java/org/copperspindle/config/ConfigHistory.java
@@ -60,9 +60,9 @@
     @Override
     public ControlResult apply(long index, WireMessage command) {
         ApplyConfigCommand apply = (ApplyConfigCommand) command;
-        byte[] proposed = ConfigText.bytes(apply.text());
+        byte[] proposed = ConfigText.encodeUtf8(apply.text());
         byte[] digest = ConfigText.digest(proposed);
-        Optional<ControlResult> earlier = decided(apply, digest);
+        Optional<ControlResult> earlier = findDecision(apply, digest);
         if (earlier.isPresent()) {
             return earlier.get();
         }
@@ -87,8 +87,8 @@
      * @param apply the change
      * @return its result; empty if the change id is unknown
      */
-    public Optional<ControlResult> decided(ApplyConfigCommand apply) {
-        return decided(apply, ConfigText.digest(ConfigText.bytes(apply.text())));
+    public Optional<ControlResult> findDecision(ApplyConfigCommand apply) {
+        return findDecision(apply, ConfigText.digest(ConfigText.encodeUtf8(apply.text())));
     }
 
     /**
@@ -106,7 +106,7 @@
      * @return its INI text
      */
     public String text() {
-        return ConfigPatch.string(text);
+        return ConfigPatch.decodeUtf8(text);
     }
 
     /**
@@ -171,7 +171,7 @@
         return !accepted.isEmpty() && baseVersion + 1 < accepted.firstKey();
     }
 
-    private Optional<ControlResult> decided(ApplyConfigCommand apply, byte[] digest) {
+    private Optional<ControlResult> findDecision(ApplyConfigCommand apply, byte[] digest) {
         return Optional.ofNullable(byId.get(apply.changeId())).map(earlier -> repeatDecision(earlier, apply, digest));
     }
 
--- a/library/src/main/java/org/copperspindle/config/ConfigPatch.java
+++ b/library/src/main/java/org/copperspindle/config/ConfigPatch.java
@@ -76,7 +76,7 @@
      * @param text its UTF-8 bytes
      * @return the decoded text
      */
-    public static String string(byte[] text) {
+    public static String decodeUtf8(byte[] text) {
         return new String(text, StandardCharsets.UTF_8);
     }
 
--- a/library/src/main/java/org/copperspindle/config/ConfigText.java
+++ b/library/src/main/java/org/copperspindle/config/ConfigText.java
@@ -93,7 +93,7 @@
      * @param text the text
      * @return its UTF-8 bytes
      */
-    public static byte[] bytes(String text) {
+    public static byte[] encodeUtf8(String text) {
         return text.getBytes(StandardCharsets.UTF_8);
     }
 }
--- a/library/src/main/java/org/copperspindle/consensus/Member.java
+++ b/library/src/main/java/org/copperspindle/consensus/Member.java
@@ -30,7 +30,7 @@
     }
 
     static Member decode(byte[] bytes) {
-        return CODEC.decodePart(bytes);
+        return CODEC.decodeNested(bytes);
     }
 
     private void write(FieldWriter out) {
--- a/library/src/main/java/org/copperspindle/consensus/MemberLinks.java
+++ b/library/src/main/java/org/copperspindle/consensus/MemberLinks.java
@@ -136,7 +136,7 @@
             connecting = attempt;
             attempt.whenComplete((channel, failure) -> {
                 if (failure != null) {
-                    ring.offerUntilTaken(() -> failed(attempt), transport.scheduler());
+                    ring.offerWithRetry(() -> failed(attempt), transport.scheduler());
                 }
             });
         }
--- a/library/src/main/java/org/copperspindle/consensus/Membership.java
+++ b/library/src/main/java/org/copperspindle/consensus/Membership.java
@@ -69,7 +69,7 @@
     }
 
     static Membership decode(byte[] bytes) {
-        return CODEC.decodePart(bytes);
+        return CODEC.decodeNested(bytes);
     }
 
     private void write(FieldWriter out) {
--- a/library/src/main/java/org/copperspindle/control/ApplyConfigCommand.java
+++ b/library/src/main/java/org/copperspindle/control/ApplyConfigCommand.java
@@ -23,7 +23,10 @@
             MessageCodec.of(50, ApplyConfigCommand.class, ApplyConfigCommand::write, ApplyConfigCommand::read);
 
     private void write(FieldWriter out) {
-        out.put(1, changeId).put(2, baseVersion).put(3, operator).put(5, ConfigText.deflate(ConfigText.bytes(text)));
+        out.put(1, changeId)
+                .put(2, baseVersion)
+                .put(3, operator)
+                .put(5, ConfigText.deflate(ConfigText.encodeUtf8(text)));
     }
 
     private static ApplyConfigCommand read(FieldReader in) {
@@ -31,6 +34,6 @@
                 in.getString(1),
                 in.getLong(2, 0),
                 in.getString(3),
-                ConfigPatch.string(ConfigText.inflate(in.getBytes(5))));
+                ConfigPatch.decodeUtf8(ConfigText.inflate(in.getBytes(5))));
     }
 }
--- a/library/src/main/java/org/copperspindle/control/ControlService.java
+++ b/library/src/main/java/org/copperspindle/control/ControlService.java
@@ -114,7 +114,7 @@
             callback.accept(new ApplyOutcome.NotTaken(log.leaderAddress().orElse("")));
             return;
         }
-        Optional<ControlResult> before = state.config().decided(command);
+        Optional<ControlResult> before = state.config().findDecision(command);
         if (before.isPresent()) {
             completeOrWait(before.get(), waitNanos, callback);
             return;
--- a/library/src/main/java/org/copperspindle/control/ControlState.java
+++ b/library/src/main/java/org/copperspindle/control/ControlState.java
@@ -177,7 +177,7 @@
         if (part == null) {
             return new ControlResult.Done();
         }
-        audit.under(term, atMillis);
+        audit.setOrigin(term, atMillis);
         AuditObserver.Observation observation = observer.observe(command);
         ControlResult result = part.apply(index, command);
         observation.after(atMillis).ifPresent(entry -> audit.trail().append(index, term, entry));
--- a/library/src/main/java/org/copperspindle/control/ControlStatusReport.java
+++ b/library/src/main/java/org/copperspindle/control/ControlStatusReport.java
@@ -29,7 +29,7 @@
     }
 
     ControlStatus create(boolean leads, List<Long> pending, LongFunction<String> waiting) {
-        byte[] digest = ConfigText.digest(ConfigText.bytes(state.config().text()));
+        byte[] digest = ConfigText.digest(ConfigText.encodeUtf8(state.config().text()));
         return new ControlStatus(
                 leads,
                 log.leaderAddress().orElse(""),
--- a/library/src/main/java/org/copperspindle/core/DecisionRing.java
+++ b/library/src/main/java/org/copperspindle/core/DecisionRing.java
@@ -16,7 +16,7 @@
 /**
  * The decision loop of a daemon: a Disruptor ring buffer whose single consumer thread owns all decision state, so
  * that decisions need no locks. Network threads never block: they use {@link #offer}, which returns false if the
- * ring is full, or {@link #offerUntilTaken} for tasks that must not be lost. Timer and disk threads use
+ * ring is full, or {@link #offerWithRetry} for tasks that must not be lost. Timer and disk threads use
  * {@link #execute}, which may block.
  */
 public final class DecisionRing implements DecisionQueue, Executor, AutoCloseable {
@@ -72,11 +72,11 @@
      * @param task      task to run on the decision thread
      * @param scheduler the network thread's event loop, or the group of them
      */
-    public void offerUntilTaken(Runnable task, ScheduledExecutorService scheduler) {
+    public void offerWithRetry(Runnable task, ScheduledExecutorService scheduler) {
         if (offer(task) || scheduler.isShutdown()) {
             return;
         }
-        scheduler.schedule(() -> offerUntilTaken(task, scheduler), RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
+        scheduler.schedule(() -> offerWithRetry(task, scheduler), RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /**
--- a/library/src/main/java/org/copperspindle/daemon/ControlRole.java
+++ b/library/src/main/java/org/copperspindle/daemon/ControlRole.java
@@ -13,7 +13,7 @@
 import java.util.Set;
 import java.util.concurrent.Executor;
 
-import org.copperspindle.audit.AuditDoor;
+import org.copperspindle.audit.AuditEndpoint;
 import org.copperspindle.audit.AuditStore;
 import org.copperspindle.claims.ClaimRequestMessage;
 import org.copperspindle.claims.ClaimSettleMessage;
@@ -61,7 +61,7 @@
     private final ControlService service;
     private final AuditStore audit;
     private final HttpListener operatorListener;
-    private volatile AuditDoor auditEndpoint;
+    private volatile AuditEndpoint auditEndpoint;
     private volatile ProbeEndpoint endpoint;
 
     ControlRole(ProcessContext context, ProcessSettings.ControlSettings settings) {
@@ -79,7 +79,8 @@
             throw new UncheckedIOException(e);
         }
         this.service = new ControlService(context.ring(), context.timers(), log, state, settings.lease());
-        this.auditEndpoint = new AuditDoor(context.ring(), () -> state.audit().head(), audit);
+        this.auditEndpoint =
+                new AuditEndpoint(context.ring(), () -> state.audit().head(), audit);
         Executor checkExecutor = BackgroundThread.create("config-check", MAX_QUEUED_CHECKS);
         this.endpoint = new ProbeEndpoint(
                 this::ready, context.metrics()::scrape, new ControlEndpoint(context.ring(), checkExecutor, service));
@@ -132,7 +133,7 @@
             exchange.respond(UNAVAILABLE, "text/plain", Map.of(), "starting".getBytes(StandardCharsets.UTF_8));
             return;
         }
-        if (exchange.path().equals(AuditDoor.PATH) && exchange.method().equals("GET")) {
+        if (exchange.path().equals(AuditEndpoint.PATH) && exchange.method().equals("GET")) {
             auditEndpoint.handle(exchange);
             return;
         }
--- a/library/src/main/java/org/copperspindle/daemon/EntryRole.java
+++ b/library/src/main/java/org/copperspindle/daemon/EntryRole.java
@@ -5,12 +5,12 @@
 import java.util.Optional;
 import java.util.Set;
 
-import org.copperspindle.entry.EntryDoor;
+import org.copperspindle.entry.EntryEndpoint;
 import org.copperspindle.entry.EntryService;
 import org.copperspindle.entry.EntrySettings;
 import org.copperspindle.http.HttpListener;
-import org.copperspindle.measure.EntryMeasures;
-import org.copperspindle.measure.MicrometerEntryMeasures;
+import org.copperspindle.measure.EntryMetrics;
+import org.copperspindle.measure.MicrometerEntryMetrics;
 import org.copperspindle.wire.Peer;
 import org.copperspindle.wire.PeerListener;
 import org.copperspindle.wire.WireMessage;
@@ -33,7 +33,7 @@
     EntryRole(ProcessContext context, EntrySettings settings) {
         this.context = context;
         this.settings = settings;
-        EntryMeasures measures = new MicrometerEntryMeasures(context.metrics());
+        EntryMetrics measures = new MicrometerEntryMetrics(context.metrics());
         this.service = new EntryService(
                 context.ring(),
                 context.timers(),
@@ -42,7 +42,7 @@
                 context.settings().controls(),
                 measures);
         ProbeEndpoint endpoint =
-                new ProbeEndpoint(service::ready, context.metrics()::scrape, new EntryDoor(service, measures));
+                new ProbeEndpoint(service::ready, context.metrics()::scrape, new EntryEndpoint(service, measures));
         this.callerListener = new HttpListener(
                 "http-" + context.settings().id(), settings.listen(), NETWORK_THREADS, settings.limits(), endpoint);
         ProcessMetrics.publish(context.metrics(), "callers", callerListener.counters());
@@ -90,7 +90,7 @@
         context.timers().schedule(settings.stopDelay().toNanos(), callerListener::stopAccepting);
         // The last responses are written on network threads, which must not be closed before that is done.
         Runnable responsesWritten =
-                () -> context.ring().offerUntilTaken(done, context.transport().scheduler());
+                () -> context.ring().offerWithRetry(done, context.transport().scheduler());
         service.stop(() -> callerListener.drain(DRAIN_TIMEOUT, responsesWritten));
     }
 
--- a/library/src/main/java/org/copperspindle/daemon/ProcessMetrics.java
+++ b/library/src/main/java/org/copperspindle/daemon/ProcessMetrics.java
@@ -39,7 +39,7 @@
         metrics.counter("dropped.chunks", "Late, doubled or foreign", counters, EntryCounters::droppedChunks);
         metrics.counter("dropped.outcomes", "Late, doubled or foreign", counters, EntryCounters::droppedOutcomes);
         metrics.counter("agent.links.lost", "Connections to agents that ended", counters, EntryCounters::linksLost);
-        metrics.counter("agent.messages.unsent", "Messages not sent", counters, EntryCounters::notSent);
+        metrics.counter("agent.messages.unsent", "Messages not sent", counters, EntryCounters::unsentMessages);
         metrics.counter("callers.slow", "Answers ended, caller too slow", counters, EntryCounters::slowCallers);
     }
 
--- a/library/src/main/java/org/copperspindle/daemon/ProcessSettings.java
+++ b/library/src/main/java/org/copperspindle/daemon/ProcessSettings.java
@@ -215,8 +215,8 @@
                 (int) s.getBytes("max-answer", Optional.of((long) d.maxResponse())),
                 s.getDuration("max-deadline", Optional.of(d.maxDeadline())),
                 s.getDuration("max-clock-age", Optional.of(d.maxClockAge())),
-                s.getDuration("keep", Optional.of(d.keep())),
-                s.getDuration("linger", Optional.of(d.linger())),
+                s.getDuration("keep", Optional.of(d.retention())),
+                s.getDuration("linger", Optional.of(d.abortGrace())),
                 s.getDuration("drain-wait", Optional.of(d.drainWait())));
     }
 
--- a/library/src/main/java/org/copperspindle/dialect/JsonStagePort.java
+++ b/library/src/main/java/org/copperspindle/dialect/JsonStagePort.java
@@ -65,14 +65,14 @@
     }
 
     @Override
-    public void free(UpstreamRecord upstream, List<String> handles, Runnable callback) {
+    public void releaseResults(UpstreamRecord upstream, List<String> handles, Runnable callback) {
         ResponseReader reader = new ResponseReader(0, result -> {
             if (!(result instanceof StageCallResult.Answered)) {
                 LOGGER.debug("event=results-not-freed upstream={} result={}", upstream.id(), result);
             }
             callback.run();
         });
-        call(upstream, format.freePath(), format.writeFreed(handles), RELEASE_TIMEOUT_MILLIS, reader);
+        call(upstream, format.releasePath(), format.writeRelease(handles), RELEASE_TIMEOUT_MILLIS, reader);
     }
 
     private void call(UpstreamRecord upstream, String path, JsonNode body, long timeoutMillis, ResponseReader reader) {
--- a/library/src/main/java/org/copperspindle/dialect/StageCallFormat.java
+++ b/library/src/main/java/org/copperspindle/dialect/StageCallFormat.java
@@ -23,7 +23,7 @@
      *
      * @return a path
      */
-    String freePath();
+    String releasePath();
 
     /**
      * Writes the body of a call that runs pieces.
@@ -39,7 +39,7 @@
      * @param handles handles of the results
      * @return the body
      */
-    JsonNode writeFreed(List<String> handles);
+    JsonNode writeRelease(List<String> handles);
 
     /**
      * Reads the response to a call that ran pieces.
--- a/library/src/main/java/org/copperspindle/dialect/StandardStageFormat.java
+++ b/library/src/main/java/org/copperspindle/dialect/StandardStageFormat.java
@@ -24,7 +24,7 @@
     }
 
     @Override
-    public String freePath() {
+    public String releasePath() {
         return "/v1/results/free";
     }
 
@@ -46,7 +46,7 @@
     }
 
     @Override
-    public JsonNode writeFreed(List<String> handles) {
+    public JsonNode writeRelease(List<String> handles) {
         ObjectNode body = JsonText.nodes().objectNode();
         ArrayNode list = body.putArray("handles");
         handles.forEach(list::add);
--- a/library/src/main/java/org/copperspindle/discovery/DirectoryGossip.java
+++ b/library/src/main/java/org/copperspindle/discovery/DirectoryGossip.java
@@ -106,7 +106,7 @@
 
     private void flush() {
         long now = timers.nanoTime();
-        directory.forgetSilent(now);
+        directory.removeSilent(now);
         mesh.broadcast(new UpstreamRecordsMessage(pending.values().stream()
                 .map(announcement -> announcement.withAge(directory.silenceMillis(announcement.id(), now)))
                 .toList()));
--- a/library/src/main/java/org/copperspindle/discovery/UpstreamDirectory.java
+++ b/library/src/main/java/org/copperspindle/discovery/UpstreamDirectory.java
@@ -210,7 +210,7 @@
      *
      * @param now monotonic time in nanoseconds
      */
-    public void forgetSilent(long now) {
+    public void removeSilent(long now) {
         byId.values().removeIf(known -> now - known.receivedAt() > EXPIRY_NANOS);
         ownerIdByAddress.values().removeIf(id -> !byId.containsKey(id));
     }
@@ -294,7 +294,7 @@
      * @return records of all upstreams, including those that left recently
      */
     public List<UpstreamRecord> all(long now) {
-        forgetSilent(now);
+        removeSilent(now);
         return byId.values().stream()
                 .map(known -> known.state().withAge(silenceMillis(known.state().id(), now)))
                 .toList();
--- a/library/src/main/java/org/copperspindle/discovery/UpstreamRecord.java
+++ b/library/src/main/java/org/copperspindle/discovery/UpstreamRecord.java
@@ -102,7 +102,7 @@
     }
 
     static UpstreamRecord decode(byte[] bytes) {
-        return CODEC.decodePart(bytes);
+        return CODEC.decodeNested(bytes);
     }
 
     private void write(FieldWriter out) {
--- a/library/src/main/java/org/copperspindle/entry/AgentLinks.java
+++ b/library/src/main/java/org/copperspindle/entry/AgentLinks.java
@@ -117,7 +117,7 @@
         private void connect() {
             transport.connect(address, this).whenComplete((channel, failure) -> {
                 if (failure != null) {
-                    ring.offerUntilTaken(this::onFailed, transport.scheduler());
+                    ring.offerWithRetry(this::onFailed, transport.scheduler());
                 } else {
                     failWithoutGreeting(channel);
                 }
@@ -127,7 +127,7 @@
         private void failWithoutGreeting(Channel channel) {
             // A peer that accepts and never sends its greeting is closed without onOpen and onClose. Without this
             // listener, all messages to that agent would be queued here until the deadlines of their requests.
-            channel.closeFuture().addListener(closed -> ring.offerUntilTaken(this::onFailed, transport.scheduler()));
+            channel.closeFuture().addListener(closed -> ring.offerWithRetry(this::onFailed, transport.scheduler()));
         }
 
         private void send(Made queued) {
--- a/library/src/main/java/org/copperspindle/entry/CallerRequestReader.java
+++ b/library/src/main/java/org/copperspindle/entry/CallerRequestReader.java
@@ -121,7 +121,7 @@
             return Optional.of(ProblemDetails.notRun(NOT_JSON, 400, "the body is not one JSON object"));
         }
         boolean streaming = accepts(exchange, EVENT_STREAM);
-        if (streaming && !exchange.supportsPieces()) {
+        if (streaming && !exchange.supportsChunkedResponse()) {
             return Optional.of(ProblemDetails.notRun("http-version", 505, "server-sent events need HTTP/1.1"));
         }
         if (!streaming && !acceptsJson(exchange)) {
--- a/library/src/main/java/org/copperspindle/entry/EntryCounters.java
+++ b/library/src/main/java/org/copperspindle/entry/EntryCounters.java
@@ -10,7 +10,7 @@
     private final LongAdder droppedChunks = new LongAdder();
     private final LongAdder droppedOutcomes = new LongAdder();
     private final LongAdder linksLost = new LongAdder();
-    private final LongAdder notSent = new LongAdder();
+    private final LongAdder unsentMessages = new LongAdder();
     private final LongAdder slowCallers = new LongAdder();
 
     void incrementDroppedChunks() {
@@ -26,7 +26,7 @@
     }
 
     void incrementUnsentMessages() {
-        notSent.increment();
+        unsentMessages.increment();
     }
 
     void incrementSlowCallers() {
@@ -65,8 +65,8 @@
      *
      * @return a count
      */
-    public long notSent() {
-        return notSent.sum();
+    public long unsentMessages() {
+        return unsentMessages.sum();
     }
 
     /**
--- a/library/src/main/java/org/copperspindle/entry/EntryDoor.java
+++ b/library/src/main/java/org/copperspindle/entry/EntryEndpoint.java
@@ -6,19 +6,19 @@
 import org.copperspindle.http.HttpExchange;
 import org.copperspindle.http.HttpRequestHandler;
 import org.copperspindle.http.ProblemDetails;
-import org.copperspindle.measure.EntryMeasures;
+import org.copperspindle.measure.EntryMetrics;
 import org.copperspindle.pipeline.RefusalVerdictPolicy;
 
 /**
  * The callers' HTTP interface: {@code POST /v1/pipelines/NAME} and {@code POST /v1/services/NAME}. Failures are problem
  * details (RFC 9457) that carry the verdict.
  */
-public final class EntryDoor implements HttpRequestHandler {
+public final class EntryEndpoint implements HttpRequestHandler {
 
     private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
     private final EntryService entry;
-    private final EntryMeasures measures;
+    private final EntryMetrics measures;
 
     /**
      * Creates the endpoint.
@@ -26,7 +26,7 @@
      * @param entry    serves the requests
      * @param measures counts refusals
      */
-    public EntryDoor(EntryService entry, EntryMeasures measures) {
+    public EntryEndpoint(EntryService entry, EntryMetrics measures) {
         this.entry = entry;
         this.measures = measures;
     }
--- a/library/src/main/java/org/copperspindle/entry/EntryService.java
+++ b/library/src/main/java/org/copperspindle/entry/EntryService.java
@@ -14,7 +14,7 @@
 import org.copperspindle.limits.EntryPolicy;
 import org.copperspindle.limits.EntryPolicyFactory;
 import org.copperspindle.limits.PolicyKind;
-import org.copperspindle.measure.EntryMeasures;
+import org.copperspindle.measure.EntryMetrics;
 import org.copperspindle.membership.ControlLink;
 import org.copperspindle.membership.ControlLinkListener;
 import org.copperspindle.membership.ControlUpdateMessage;
@@ -46,7 +46,7 @@
     private final RequestDriver driver;
     private final RequestAdmission admission;
     private final EntryPolicy policy;
-    private final EntryMeasures measures;
+    private final EntryMetrics measures;
     private final DeploymentView deployment;
     private final FleetView fleet = new FleetView();
     private boolean refusing;
@@ -72,7 +72,7 @@
             WireTransport transport,
             EntrySettings settings,
             List<InetSocketAddress> controls,
-            EntryMeasures measures) {
+            EntryMetrics measures) {
         this.ring = ring;
         this.timers = timers;
         this.transport = transport;
@@ -120,7 +120,7 @@
     public void callerLeft(String requestId) {
         // If this were dropped at a full ring, the request would run until its deadline and use capacity just when it
         // is scarce.
-        ring.offerUntilTaken(() -> driver.callerLeft(requestId), transport.scheduler());
+        ring.offerWithRetry(() -> driver.callerLeft(requestId), transport.scheduler());
     }
 
     /**
--- a/library/src/main/java/org/copperspindle/entry/ExchangeSink.java
+++ b/library/src/main/java/org/copperspindle/entry/ExchangeSink.java
@@ -5,7 +5,7 @@
 
 import org.copperspindle.http.HttpExchange;
 import org.copperspindle.http.ProblemDetails;
-import org.copperspindle.measure.EntryMeasures;
+import org.copperspindle.measure.EntryMetrics;
 import org.copperspindle.pipeline.PipelineAnswer;
 import org.copperspindle.pipeline.StageContext;
 import org.copperspindle.verdict.NotRunVerdict;
@@ -16,11 +16,11 @@
 final class ExchangeSink implements AnswerSink {
 
     private final HttpExchange exchange;
-    private final EntryMeasures measures;
+    private final EntryMetrics measures;
     private final long since = System.nanoTime();
     private boolean started;
 
-    ExchangeSink(HttpExchange exchange, EntryMeasures measures) {
+    ExchangeSink(HttpExchange exchange, EntryMetrics measures) {
         this.exchange = exchange;
         this.measures = measures;
     }
--- a/library/src/main/java/org/copperspindle/entry/OpenAttempts.java
+++ b/library/src/main/java/org/copperspindle/entry/OpenAttempts.java
@@ -63,7 +63,7 @@
         attempt.dispatchedTo().ifPresent(view -> {
             long now = timers.nanoTime();
             long duration = now - attempt.since();
-            policy.ended(
+            policy.onAttemptEnded(
                     new AttemptReport(attempt.open().request(), attempt.stage(), view, end, duration, inFlight), now);
             waitingRequests.onCapacity(attempt.stage().pool());
         });
--- a/library/src/main/java/org/copperspindle/entry/RequestAdmission.java
+++ b/library/src/main/java/org/copperspindle/entry/RequestAdmission.java
@@ -96,8 +96,8 @@
     private static PipelineRequest bound(
             String requestId, CallerRequest request, AccountSettings account, PipelineSettings pipeline, long now) {
         Priority priority = request.priority().orElse(pipeline.priority());
-        if (priority.ordinal() < account.highest().ordinal()) {
-            priority = account.highest();
+        if (priority.ordinal() < account.highestPriority().ordinal()) {
+            priority = account.highestPriority();
         }
         Duration deadline = request.deadline().orElse(pipeline.deadline());
         if (deadline.compareTo(account.maxDeadline()) > 0) {
--- a/library/src/main/java/org/copperspindle/entry/RequestDriver.java
+++ b/library/src/main/java/org/copperspindle/entry/RequestDriver.java
@@ -20,7 +20,7 @@
 import org.copperspindle.claims.ClaimClient;
 import org.copperspindle.limits.AttemptEnd;
 import org.copperspindle.limits.EntryPolicy;
-import org.copperspindle.measure.EntryMeasures;
+import org.copperspindle.measure.EntryMetrics;
 import org.copperspindle.pipeline.PipelineAction;
 import org.copperspindle.pipeline.PipelineAnswer;
 import org.copperspindle.pipeline.PipelineRequest;
@@ -54,7 +54,7 @@
     private final FleetView fleet;
     private final EntryPolicy policy;
     private final WaitingRequests waitingRequests;
-    private final EntryMeasures measures;
+    private final EntryMetrics measures;
     private final EntryCounters counters = new EntryCounters();
     private final Map<String, OpenRequest> requests = new HashMap<>();
     private final OpenAttempts attempts;
@@ -67,7 +67,7 @@
             ClaimClient claims,
             FleetView fleet,
             EntryPolicy policy,
-            EntryMeasures measures) {
+            EntryMetrics measures) {
         this.timers = timers;
         this.agents = agents;
         this.claims = claims;
@@ -129,7 +129,8 @@
         } else if (message instanceof AttemptOutcomeMessage outcome) {
             onOutcome(agent, outcome);
         } else if (message instanceof LoadReportMessage report) {
-            fleet.upstream(report.upstreamId()).ifPresent(view -> view.reported(report.inFlight() + report.queued()));
+            fleet.upstream(report.upstreamId())
+                    .ifPresent(view -> view.onLoadReport(report.inFlight() + report.queued()));
         }
     }
 
@@ -290,7 +291,7 @@
             attempt.timeout(timers.schedule(age / 2, () -> onAttemptTimeout(attempt)));
         } else {
             attempts.close(attempt, AttemptEnd.TIMED_OUT, -1);
-            perform(attempt.open(), run.onGivenUp(attempt.id(), "attempt-timeout", timers.nanoTime()));
+            perform(attempt.open(), run.onAbandoned(attempt.id(), "attempt-timeout", timers.nanoTime()));
         }
     }
 
--- a/library/src/main/java/org/copperspindle/fleet/EngineOrderClient.java
+++ b/library/src/main/java/org/copperspindle/fleet/EngineOrderClient.java
@@ -8,13 +8,13 @@
 public interface EngineOrderClient {
 
     /** Status passed to the callback when no complete response was received. */
-    int NO_ANSWER = 0;
+    int NO_RESPONSE = 0;
 
     /**
      * Sends a call.
      *
      * @param request  the call
-     * @param callback receives the HTTP status, or {@link #NO_ANSWER}, exactly once, on the decision ring
+     * @param callback receives the HTTP status, or {@link #NO_RESPONSE}, exactly once, on the decision ring
      */
     void send(EngineRequest request, Consumer<Integer> callback);
 }
--- a/library/src/main/java/org/copperspindle/fleet/OrderHandler.java
+++ b/library/src/main/java/org/copperspindle/fleet/OrderHandler.java
@@ -208,7 +208,7 @@
             complete(
                     order,
                     OrderOutcome.FAILED,
-                    status == EngineOrderClient.NO_ANSWER ? "no answer" : "status " + status);
+                    status == EngineOrderClient.NO_RESPONSE ? "no answer" : "status " + status);
         }
     }
 
--- a/library/src/main/java/org/copperspindle/gateway/ControlGroupMember.java
+++ b/library/src/main/java/org/copperspindle/gateway/ControlGroupMember.java
@@ -105,13 +105,13 @@
         @Override
         public void onVersion(VersionMessage version) {
             seenGroup = true;
-            network.execute(() -> versionExchange.recorded(version));
+            network.execute(() -> versionExchange.onRecorded(version));
         }
 
         @Override
         public void onEvacuations(EvacuationsMessage evacuations) {
             seenGroup = true;
-            network.execute(() -> versionExchange.recorded(evacuations));
+            network.execute(() -> versionExchange.onRecorded(evacuations));
         }
     }
 }
--- a/library/src/main/java/org/copperspindle/gateway/EvacuationRequestHandler.java
+++ b/library/src/main/java/org/copperspindle/gateway/EvacuationRequestHandler.java
@@ -44,7 +44,7 @@
             LOGGER.info(
                     "event=evacuation-asked domain={} begins={} result={}",
                     command.failureDomain(),
-                    command.begins(),
+                    command.isEvacuation(),
                     result.getClass().getSimpleName());
             callback.accept(result);
         });
--- a/library/src/main/java/org/copperspindle/gateway/GatewayContext.java
+++ b/library/src/main/java/org/copperspindle/gateway/GatewayContext.java
@@ -8,7 +8,7 @@
 import org.copperspindle.coldstart.ColdAdmission;
 import org.copperspindle.direct.UpstreamPort;
 import org.copperspindle.discovery.DirectoryGossip;
-import org.copperspindle.measure.DecisionLog;
+import org.copperspindle.measure.LogRateLimiter;
 import org.copperspindle.mesh.IsolationDetector;
 import org.copperspindle.quarantine.RequestQuarantine;
 import org.copperspindle.time.TimerService;
@@ -17,8 +17,8 @@
  * Components that all requests of a node share.
  *
  * @param timers              timers on the network thread
- * @param callers             reads requests of callers and writes refusals
- * @param upstreams           writes calls to upstreams and reads their responses
+ * @param callerDialect             reads requests of callers and writes refusals
+ * @param upstreamDialect           writes calls to upstreams and reads their responses
  * @param port                sends calls
  * @param batches             runs the pieces of stages
  * @param gossip              announces to other nodes that upstreams have left
@@ -41,8 +41,8 @@
  */
 record GatewayContext(
         TimerService timers,
-        CallerDialect callers,
-        UpstreamDialect upstreams,
+        CallerDialect callerDialect,
+        UpstreamDialect upstreamDialect,
         UpstreamPort port,
         BatchService batches,
         DirectoryGossip gossip,
@@ -58,7 +58,7 @@
         IsolationDetector isolation,
         OpenRequests openRequests,
         GatewayCounters counters,
-        DecisionLog log,
+        LogRateLimiter log,
         RandomGenerator random,
         RetryAfterDelays retryAfterDelays,
         RequestQuarantine quarantine) {}
--- a/library/src/main/java/org/copperspindle/gateway/GatewayMessages.java
+++ b/library/src/main/java/org/copperspindle/gateway/GatewayMessages.java
@@ -4,11 +4,11 @@
 import org.copperspindle.backpressure.PermitRequestMessage;
 import org.copperspindle.backpressure.PermitResponseMessage;
 import org.copperspindle.batch.ExpectedPiecesMessage;
-import org.copperspindle.batch.FreeResultsMessage;
 import org.copperspindle.batch.PieceCancelMessage;
 import org.copperspindle.batch.PieceGroup;
 import org.copperspindle.batch.PieceResultsMessage;
 import org.copperspindle.batch.PoolLoadMessage;
+import org.copperspindle.batch.ReleaseResultsMessage;
 import org.copperspindle.consensus.ConsensusLog;
 import org.copperspindle.discovery.UpstreamRecordsMessage;
 import org.copperspindle.mesh.NodeHelloMessage;
@@ -46,7 +46,7 @@
                 .register(PieceGroup.CODEC)
                 .register(PieceResultsMessage.CODEC)
                 .register(PieceCancelMessage.CODEC)
-                .register(FreeResultsMessage.CODEC)
+                .register(ReleaseResultsMessage.CODEC)
                 .register(PoolLoadMessage.CODEC)
                 .register(ExpectedPiecesMessage.CODEC);
         ConsensusLog.codecs().forEach(registry::register);
--- a/library/src/main/java/org/copperspindle/gateway/GatewayNode.java
+++ b/library/src/main/java/org/copperspindle/gateway/GatewayNode.java
@@ -39,7 +39,7 @@
 import org.copperspindle.http.HttpLimits;
 import org.copperspindle.http.HttpListener;
 import org.copperspindle.http.HttpRequestHandler;
-import org.copperspindle.measure.DecisionLog;
+import org.copperspindle.measure.LogRateLimiter;
 import org.copperspindle.mesh.IsolationDetector;
 import org.copperspindle.mesh.MeshListener;
 import org.copperspindle.mesh.MeshNode;
@@ -51,8 +51,8 @@
 import org.copperspindle.route.CallerLimits;
 import org.copperspindle.route.RouteTable;
 import org.copperspindle.route.UpstreamPool;
-import org.copperspindle.time.LoopTimerService;
-import org.copperspindle.time.SuspensionWatch;
+import org.copperspindle.time.EventLoopTimerService;
+import org.copperspindle.time.SuspensionDetector;
 import org.copperspindle.time.TimerService;
 import org.copperspindle.version.VersionExchange;
 import org.copperspindle.version.VersionHolder;
@@ -101,7 +101,7 @@
     private final MultiThreadIoEventLoopGroup eventLoops =
             new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("network", true), NioIoHandler.newFactory());
     private final EventLoop loop = (EventLoop) eventLoops.next();
-    private final TimerService timers = new LoopTimerService(loop);
+    private final TimerService timers = new EventLoopTimerService(loop);
     private final WireTransport transport;
     private final GreetingMessage greeting;
     private final MessageRegistry registry;
@@ -150,9 +150,9 @@
         this.versionExchange = new VersionExchange(mesh, timers, loop);
         Duration lease = Duration.ofNanos((long) (settings.revocation().toNanos() * LEASE_SHARE));
         this.versionHolder = new VersionHolder(
-                timers, dialects.tableReader(), lease, new SuspensionWatch(), versionExchange::requestLease);
+                timers, dialects.tableReader(), lease, new SuspensionDetector(), versionExchange::requestLease);
         versionExchange.holder(versionHolder);
-        DecisionLog decisionLog = new DecisionLog(MAX_SERVED_LINES_PER_SECOND, MAX_FAILED_LINES_PER_SECOND);
+        LogRateLimiter decisionLog = new LogRateLimiter(MAX_SERVED_LINES_PER_SECOND, MAX_FAILED_LINES_PER_SECOND);
         DirectClient client = new DirectClient(
                 loop,
                 timers,
--- a/library/src/main/java/org/copperspindle/gateway/GatewayService.java
+++ b/library/src/main/java/org/copperspindle/gateway/GatewayService.java
@@ -53,7 +53,7 @@
 
     @Override
     public void handle(HttpExchange exchange) {
-        GatewayRequestResult result = context.callers().read(exchange);
+        GatewayRequestResult result = context.callerDialect().read(exchange);
         if (result instanceof GatewayRequestResult.Invalid invalid) {
             refuse(exchange, "", Refusal.malformed(invalid.problem()), Optional.empty());
         } else if (result instanceof GatewayRequestResult.Valid valid) {
@@ -105,7 +105,7 @@
 
     private void refuse(HttpExchange exchange, String id, Refusal refusal, Optional<RouteTable> table) {
         context.counters().recordRefusal(refusal.verdict().reason());
-        if (context.log().takesFailed(context.timers().nanoTime())) {
+        if (context.log().allowsFailed(context.timers().nanoTime())) {
             LOGGER.info(
                     "event=request-refused request={} status={} reason={} version={} retry_after_ms={} detail=\"{}\"",
                     id,
@@ -115,6 +115,6 @@
                     refusal.retryAfter().map(Duration::toMillis).orElse(-1L),
                     refusal.title());
         }
-        refusal.send(exchange, context.callers(), id);
+        refusal.send(exchange, context.callerDialect(), id);
     }
 }
--- a/library/src/main/java/org/copperspindle/gateway/IgnoredAnnouncements.java
+++ b/library/src/main/java/org/copperspindle/gateway/IgnoredAnnouncements.java
@@ -5,7 +5,7 @@
 
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
-import org.copperspindle.measure.DecisionLog;
+import org.copperspindle.measure.LogRateLimiter;
 import org.copperspindle.time.TimerService;
 
 /**
@@ -21,9 +21,9 @@
 
     private final Map<String, Long> counts = new TreeMap<>();
     private final TimerService timers;
-    private final DecisionLog log;
+    private final LogRateLimiter log;
 
-    IgnoredAnnouncements(TimerService timers, DecisionLog log) {
+    IgnoredAnnouncements(TimerService timers, LogRateLimiter log) {
         this.timers = timers;
         this.log = log;
     }
@@ -37,7 +37,7 @@
      */
     void add(String id, String reason, String detail) {
         counts.merge(reason, 1L, Long::sum);
-        if (log.takesFailed(timers.nanoTime())) {
+        if (log.allowsFailed(timers.nanoTime())) {
             LOGGER.warn(
                     "event=announcement-ignored upstream={} reason={} detail=\"{}\"",
                     sanitized(id),
--- a/library/src/main/java/org/copperspindle/gateway/NodeMemberOpener.java
+++ b/library/src/main/java/org/copperspindle/gateway/NodeMemberOpener.java
@@ -62,7 +62,7 @@
     }
 
     @Override
-    public void dropRecords() throws IOException {
+    public void deleteRecords() throws IOException {
         List<Path> files = new ArrayList<>();
         try (Stream<Path> listing = Files.list(settings.dataFolder())) {
             listing.forEach(files::add);
--- a/library/src/main/java/org/copperspindle/gateway/RequestLogger.java
+++ b/library/src/main/java/org/copperspindle/gateway/RequestLogger.java
@@ -7,7 +7,7 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 import org.copperspindle.discovery.UpstreamRecord;
-import org.copperspindle.measure.DecisionLog;
+import org.copperspindle.measure.LogRateLimiter;
 
 /**
  * Writes the log lines of one request: what was decided, on which values, and how it ended.
@@ -18,7 +18,7 @@
 
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    private final DecisionLog log;
+    private final LogRateLimiter log;
     private final UpstreamTracker tracker;
     private final AdmittedRequest admitted;
     private final String id;
@@ -31,7 +31,7 @@
      * @param tracker  counts the calls in flight to upstreams
      * @param admitted the request
      */
-    RequestLogger(DecisionLog log, UpstreamTracker tracker, AdmittedRequest admitted) {
+    RequestLogger(LogRateLimiter log, UpstreamTracker tracker, AdmittedRequest admitted) {
         this.log = log;
         this.tracker = tracker;
         this.admitted = admitted;
@@ -41,7 +41,7 @@
 
     /** Logs that the request was admitted. */
     void admitted() {
-        if (!log.takesServed(admittedAt)) {
+        if (!log.allowsServed(admittedAt)) {
             return;
         }
         GatewayRequest request = admitted.request();
@@ -93,7 +93,7 @@
      * @param now         monotonic time in nanoseconds
      */
     void attemptSent(int number, UpstreamRecord upstream, Optional<String> resumeAfter, long now) {
-        if (!log.takesServed(now)) {
+        if (!log.allowsServed(now)) {
             return;
         }
         LOGGER.info(
@@ -137,7 +137,7 @@
     }
 
     private boolean isLogged(boolean failed, long now) {
-        return failed ? log.takesFailed(now) : log.takesServed(now);
+        return failed ? log.allowsFailed(now) : log.allowsServed(now);
     }
 
     private String firstEventMillis(OptionalLong at) {
--- a/library/src/main/java/org/copperspindle/gateway/RequestRun.java
+++ b/library/src/main/java/org/copperspindle/gateway/RequestRun.java
@@ -376,7 +376,7 @@
     }
 
     private void abortResponse(String reason) {
-        exchange.breakOff();
+        exchange.abortResponse();
         finish("broken-" + reason, true);
     }
 
@@ -389,7 +389,7 @@
     }
 
     private void refuse(Refusal refusal) {
-        refusal.send(exchange, context.callers(), request.id());
+        refusal.send(exchange, context.callerDialect(), request.id());
         finish(refusal.verdict().reason(), true);
     }
 
@@ -463,7 +463,7 @@
             } else if (head.status() >= SERVER_ERROR && route.isIdempotent() && mayRetry()) {
                 handleFailure("upstream-status-" + head.status());
             } else {
-                exchange.respond(head.status(), context.upstreams().callerFields(head), body);
+                exchange.respond(head.status(), context.upstreamDialect().callerFields(head), body);
                 finish("status-" + head.status(), head.status() >= SERVER_ERROR);
             }
         }
--- a/library/src/main/java/org/copperspindle/gateway/SharedRetryBudget.java
+++ b/library/src/main/java/org/copperspindle/gateway/SharedRetryBudget.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-import org.copperspindle.measure.SlidingCount;
+import org.copperspindle.measure.SlidingWindowCount;
 
 /**
  * Limits retries at a second upstream, over all nodes. When a whole pool fails, retries multiply its load just when it
@@ -91,12 +91,12 @@
 
     /** Recent requests and retries of a pool. */
     private static final class Window {
-        private final SlidingCount requests;
-        private final SlidingCount retries;
+        private final SlidingWindowCount requests;
+        private final SlidingWindowCount retries;
 
         private Window(long bucketNanos) {
-            this.requests = new SlidingCount(BUCKETS, bucketNanos);
-            this.retries = new SlidingCount(BUCKETS, bucketNanos);
+            this.requests = new SlidingWindowCount(BUCKETS, bucketNanos);
+            this.retries = new SlidingWindowCount(BUCKETS, bucketNanos);
         }
     }
 }
--- a/library/src/main/java/org/copperspindle/gateway/StageRun.java
+++ b/library/src/main/java/org/copperspindle/gateway/StageRun.java
@@ -281,7 +281,7 @@
 
     private void releaseUnneeded(boolean requestDone) {
         for (int stage : plan.takeReleasable(requestDone)) {
-            batches.free(route.stages().get(stage).pool(), plan.availableHandles(stage));
+            batches.releaseResults(route.stages().get(stage).pool(), plan.availableHandles(stage));
         }
     }
 
--- a/library/src/main/java/org/copperspindle/gateway/UpstreamAttempt.java
+++ b/library/src/main/java/org/copperspindle/gateway/UpstreamAttempt.java
@@ -59,7 +59,7 @@
     /** Sends the attempt; the listener may be called before this returns. */
     void send(AttemptSpec spec) {
         context.tracker().started(upstream.id());
-        handle = context.port().call(context.upstreams().write(spec), this);
+        handle = context.port().call(context.upstreamDialect().write(spec), this);
     }
 
     /** Aborts the attempt because the caller left or time is up; the listener is not called after that. */
@@ -80,7 +80,7 @@
         head = Optional.of(received);
         isStream = admitted.route().kind() == RouteKind.STREAM && received.isSuccess();
         if (isStream) {
-            relay.beginStream(received.status(), context.upstreams().callerFields(received));
+            relay.beginStream(received.status(), context.upstreamDialect().callerFields(received));
         }
     }
 
@@ -110,7 +110,7 @@
         if (isStream && !relay.isComplete()) {
             // A response without a length ends with its connection, also when its upstream crashes.
             connectionLost("event-cut", true);
-        } else if (context.upstreams().provesNotRun(response)) {
+        } else if (context.upstreamDialect().provesNotRun(response)) {
             handleNotRun(response);
         } else {
             end(true, "");
@@ -142,14 +142,14 @@
     }
 
     private void handleNotRun(DirectHead response) {
-        Optional<String> other = context.upstreams().otherUpstream(response);
+        Optional<String> other = context.upstreamDialect().otherUpstream(response);
         end(true, "");
         logAttempt("not-run", "status-" + response.status());
         if (other.isPresent() && !other.get().equals(upstream.id())) {
             // The address now belongs to another upstream: the intended one received nothing.
             context.gossip().onLeft(upstream.id(), upstream.incarnation(), "address-answers-for-another");
             listener.onNotRun("upstream-replaced", false);
-        } else if (context.upstreams().reportsMissingInputs(response)) {
+        } else if (context.upstreamDialect().reportsMissingInputs(response)) {
             listener.onInputsLost(upstream.id());
         } else {
             listener.onNotRun("upstream-status-" + response.status(), true);
@@ -192,7 +192,7 @@
 
     private void logAttempt(String outcome, String reason) {
         long now = context.timers().nanoTime();
-        if (context.log().takesFailed(now)) {
+        if (context.log().allowsFailed(now)) {
             LOGGER.info(
                     "event=attempt-{} request={} attempt={} upstream={} reason={} took_ms={} budget_left={} digest={}",
                     outcome,
--- a/library/src/main/java/org/copperspindle/http/HttpExchange.java
+++ b/library/src/main/java/org/copperspindle/http/HttpExchange.java
@@ -138,7 +138,7 @@
      *
      * @return false for HTTP/1.0
      */
-    public boolean supportsPieces() {
+    public boolean supportsChunkedResponse() {
         return !http10;
     }
 
@@ -271,7 +271,7 @@
         }
         if (pendingBytes.addAndGet(bytes.length) > connection.limits().maxPendingBytes()) {
             connection.counters().slowReader();
-            breakOff();
+            abortResponse();
             return false;
         }
         connection
@@ -291,7 +291,7 @@
      * Aborts a started response: the connection closes without the terminating chunk, so that the caller sees the
      * response as incomplete.
      */
-    public void breakOff() {
+    public void abortResponse() {
         if (state.compareAndSet(ResponseState.STARTED, ResponseState.BROKEN)) {
             connection.abort("answer-broken");
         }
--- a/library/src/main/java/org/copperspindle/limits/AdaptiveEntryPolicy.java
+++ b/library/src/main/java/org/copperspindle/limits/AdaptiveEntryPolicy.java
@@ -91,8 +91,8 @@
     }
 
     @Override
-    public void ended(AttemptReport report, long now) {
-        report.view().ended(report.inFlight());
+    public void onAttemptEnded(AttemptReport report, long now) {
+        report.view().onAttemptEnded(report.inFlight());
         updateHealth(report, now);
         boolean missed =
                 report.end() == AttemptEnd.WITHDRAWN && now >= report.request().deadlineNanos();
--- a/library/src/main/java/org/copperspindle/limits/EntryPolicy.java
+++ b/library/src/main/java/org/copperspindle/limits/EntryPolicy.java
@@ -73,7 +73,7 @@
      * @param report the outcome
      * @param now    monotonic time in nanoseconds
      */
-    void ended(AttemptReport report, long now);
+    void onAttemptEnded(AttemptReport report, long now);
 
     /**
      * Returns the time after which an attempt without an outcome is reviewed.
--- a/library/src/main/java/org/copperspindle/limits/FixedRateEntryPolicy.java
+++ b/library/src/main/java/org/copperspindle/limits/FixedRateEntryPolicy.java
@@ -46,8 +46,8 @@
     }
 
     @Override
-    public void ended(AttemptReport report, long now) {
-        report.view().ended(report.inFlight());
+    public void onAttemptEnded(AttemptReport report, long now) {
+        report.view().onAttemptEnded(report.inFlight());
     }
 
     @Override
--- a/library/src/main/java/org/copperspindle/measure/EntryMeasures.java
+++ b/library/src/main/java/org/copperspindle/measure/EntryMetrics.java
@@ -9,10 +9,10 @@
 /**
  * Receives the events from which the metrics of an entry are derived. Thread-safe; never blocks.
  */
-public interface EntryMeasures {
+public interface EntryMetrics {
 
     /** Records nothing; for tests and replay. */
-    EntryMeasures NONE = new EntryMeasures() {};
+    EntryMetrics NONE = new EntryMetrics() {};
 
     /**
      * Called when an admitted request has been answered.
--- a/library/src/main/java/org/copperspindle/measure/DecisionLog.java
+++ b/library/src/main/java/org/copperspindle/measure/LogRateLimiter.java
@@ -8,9 +8,9 @@
  * successful ones never suppresses their lines. Suppressed lines are counted, and the counts are logged. Used on the
  * network thread only.
  */
-public final class DecisionLog {
+public final class LogRateLimiter {
 
-    private static final Logger LOGGER = LogManager.getLogger(DecisionLog.class);
+    private static final Logger LOGGER = LogManager.getLogger(LogRateLimiter.class);
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
     private final int servedLimit;
@@ -27,7 +27,7 @@
      * @param servedLimit maximum lines per second about successful requests
      * @param failedLimit maximum lines per second about requests that fail or are refused
      */
-    public DecisionLog(int servedLimit, int failedLimit) {
+    public LogRateLimiter(int servedLimit, int failedLimit) {
         this.servedLimit = servedLimit;
         this.failedLimit = failedLimit;
     }
@@ -38,7 +38,7 @@
      * @param now monotonic time in nanoseconds
      * @return false if the line must be suppressed
      */
-    public boolean takesServed(long now) {
+    public boolean allowsServed(long now) {
         startSecond(now);
         if (served < servedLimit) {
             served++;
@@ -54,7 +54,7 @@
      * @param now monotonic time in nanoseconds
      * @return false if the line must be suppressed
      */
-    public boolean takesFailed(long now) {
+    public boolean allowsFailed(long now) {
         startSecond(now);
         if (failed < failedLimit) {
             failed++;
--- a/library/src/main/java/org/copperspindle/measure/MicrometerEntryMeasures.java
+++ b/library/src/main/java/org/copperspindle/measure/MicrometerEntryMetrics.java
@@ -15,7 +15,7 @@
  * Records the metrics of an entry in Micrometer. Label values are names from the configuration in force or constants of
  * the program; labels that could have thousands of values are bounded.
  */
-public final class MicrometerEntryMeasures implements EntryMeasures {
+public final class MicrometerEntryMetrics implements EntryMetrics {
 
     private static final int MAX_ACCOUNT_LABELS = 200;
     private static final int MAX_REASON_LABELS = 64;
@@ -42,7 +42,7 @@
      *
      * @param registry registry in which they are published
      */
-    public MicrometerEntryMeasures(MetricsRegistry registry) {
+    public MicrometerEntryMetrics(MetricsRegistry registry) {
         this.meters = registry.meters();
     }
 
--- a/library/src/main/java/org/copperspindle/measure/SlidingCount.java
+++ b/library/src/main/java/org/copperspindle/measure/SlidingWindowCount.java
@@ -3,7 +3,7 @@
 /**
  * Counts events in a sliding window of buckets: the newest bucket and the full ones before it that fit into the window.
  */
-public final class SlidingCount {
+public final class SlidingWindowCount {
 
     private final long bucketNanos;
     private final long[] counts;
@@ -16,7 +16,7 @@
      * @param buckets     number of buckets in the window
      * @param bucketNanos length of a bucket in nanoseconds
      */
-    public SlidingCount(int buckets, long bucketNanos) {
+    public SlidingWindowCount(int buckets, long bucketNanos) {
         this.counts = new long[buckets];
         this.bucketNanos = bucketNanos;
     }
--- a/library/src/main/java/org/copperspindle/membership/ControlLink.java
+++ b/library/src/main/java/org/copperspindle/membership/ControlLink.java
@@ -104,7 +104,7 @@
     private static ControlConnector connector(DecisionRing ring, WireTransport transport) {
         return (target, listener, failed) -> transport.connect(target, listener).whenComplete((channel, failure) -> {
             if (failure != null) {
-                ring.offerUntilTaken(failed, transport.scheduler());
+                ring.offerWithRetry(failed, transport.scheduler());
             }
         });
     }
@@ -323,7 +323,7 @@
         }
         text = patchedText.get();
         textVersion = update.configVersion();
-        listener.onUpdate(update.withText(ConfigPatch.string(text)));
+        listener.onUpdate(update.withText(ConfigPatch.decodeUtf8(text)));
     }
 
     private Optional<byte[]> patchedText(byte[] encoded) {
--- a/library/src/main/java/org/copperspindle/mesh/NodeHelloMessage.java
+++ b/library/src/main/java/org/copperspindle/mesh/NodeHelloMessage.java
@@ -12,7 +12,7 @@
  * @param failureDomain its failure domain
  * @param durable       true if it has a disk and may therefore be a member of the control group
  * @param serving       true if it accepts work for others; false while it starts or stops
- * @param grouped       true if it already belongs to a control group
+ * @param inControlGroup       true if it already belongs to a control group
  * @param term          term of the leader known to it, 0 if none
  * @param leader        node address of that leader, empty if none
  * @param version       version of the route table that it holds, 0 if none
@@ -23,7 +23,7 @@
         String failureDomain,
         boolean durable,
         boolean serving,
-        boolean grouped,
+        boolean inControlGroup,
         long term,
         String leader,
         long version,
@@ -39,7 +39,7 @@
                 .put(2, failureDomain)
                 .put(3, durable)
                 .put(4, serving)
-                .put(5, grouped)
+                .put(5, inControlGroup)
                 .put(6, term)
                 .put(7, leader)
                 .put(8, version)
--- a/library/src/main/java/org/copperspindle/pipeline/PipelineRun.java
+++ b/library/src/main/java/org/copperspindle/pipeline/PipelineRun.java
@@ -182,7 +182,7 @@
      * @param now       nanoseconds of the timer service
      * @return what to do
      */
-    public List<PipelineAction> onGivenUp(String attemptId, String reason, long now) {
+    public List<PipelineAction> onAbandoned(String attemptId, String reason, long now) {
         Optional<StageAttempt> attempt = find(attemptId).filter(StageAttempt::dispatched);
         if (attempt.isEmpty() || !stage().repeatable()) {
             return List.of();
--- a/library/src/main/java/org/copperspindle/quarantine/PoolTerminationHistory.java
+++ b/library/src/main/java/org/copperspindle/quarantine/PoolTerminationHistory.java
@@ -5,7 +5,7 @@
 import java.util.Deque;
 import java.util.Set;
 
-import org.copperspindle.measure.SlidingCount;
+import org.copperspindle.measure.SlidingWindowCount;
 
 /**
  * Recent history of the upstreams of one pool as this node observed it: runs that they survived, and terminations
@@ -23,7 +23,7 @@
     private static final int MAX_TERMINATIONS = 64;
 
     private final Deque<Termination> terminations = new ArrayDeque<>();
-    private final SlidingCount survivedRuns = new SlidingCount(BUCKETS, WINDOW_NANOS / BUCKETS);
+    private final SlidingWindowCount survivedRuns = new SlidingWindowCount(BUCKETS, WINDOW_NANOS / BUCKETS);
 
     void recordSurvivedRun(long now) {
         survivedRuns.add(now);
--- a/library/src/main/java/org/copperspindle/quarantine/RequestQuarantine.java
+++ b/library/src/main/java/org/copperspindle/quarantine/RequestQuarantine.java
@@ -14,7 +14,7 @@
 import org.copperspindle.direct.ListenCheck;
 import org.copperspindle.discovery.UpstreamDirectory;
 import org.copperspindle.discovery.UpstreamRecord;
-import org.copperspindle.measure.DecisionLog;
+import org.copperspindle.measure.LogRateLimiter;
 import org.copperspindle.mesh.MeshListener;
 import org.copperspindle.mesh.MeshNode;
 import org.copperspindle.mesh.NodeMesh;
@@ -43,7 +43,7 @@
 
     private final NodeMesh mesh;
     private final TimerService timers;
-    private final DecisionLog log;
+    private final LogRateLimiter log;
     private final SuspicionTable table = new SuspicionTable();
     private final TerminatedUpstreamDetector terminationDetector;
     private final DeferredTask sweep;
@@ -61,7 +61,11 @@
      * @param log         rate limit for log lines
      */
     public RequestQuarantine(
-            NodeMesh mesh, TimerService timers, UpstreamDirectory directory, ListenCheck listenCheck, DecisionLog log) {
+            NodeMesh mesh,
+            TimerService timers,
+            UpstreamDirectory directory,
+            ListenCheck listenCheck,
+            LogRateLimiter log) {
         this.mesh = mesh;
         this.log = log;
         this.timers = timers;
@@ -276,7 +280,7 @@
         boolean quarantined = table.isQuarantined(known.digest(), now);
         if (quarantined != quarantinedBefore) {
             logChange(quarantined ? "held-off" : "cleared", known, from);
-        } else if (known.level() > levelBefore && !from.equals(FROM_OTHER_NODE) && log.takesFailed(now)) {
+        } else if (known.level() > levelBefore && !from.equals(FROM_OTHER_NODE) && log.allowsFailed(now)) {
             logChange("suspected", known, from);
         }
         return true;
--- a/library/src/main/java/org/copperspindle/quarantine/Suspicion.java
+++ b/library/src/main/java/org/copperspindle/quarantine/Suspicion.java
@@ -86,7 +86,7 @@
     }
 
     static Suspicion decode(byte[] bytes) {
-        return CODEC.decodePart(bytes);
+        return CODEC.decodeNested(bytes);
     }
 
     private void write(FieldWriter out) {
--- a/library/src/main/java/org/copperspindle/replay/ReplayEntry.java
+++ b/library/src/main/java/org/copperspindle/replay/ReplayEntry.java
@@ -92,7 +92,7 @@
     }
 
     void onLoad(String upstreamId, int inFlight) {
-        fleet.upstream(upstreamId).ifPresent(view -> view.reported(inFlight));
+        fleet.upstream(upstreamId).ifPresent(view -> view.onLoadReport(inFlight));
     }
 
     /** Resumes waiting requests of all pools that have a usable upstream. */
@@ -133,8 +133,8 @@
         AccountSettings account = deployment.accounts().get(traceRequest.account());
         PipelineSettings pipeline = deployment.pipelines().get(traceRequest.pipeline());
         Priority priority =
-                traceRequest.priority().ordinal() < account.highest().ordinal()
-                        ? account.highest()
+                traceRequest.priority().ordinal() < account.highestPriority().ordinal()
+                        ? account.highestPriority()
                         : traceRequest.priority();
         String input = traceRequest.prefix() == 0
                 ? requestId
@@ -248,7 +248,7 @@
         attempts.remove(attempt.id);
         attempt.timeout.cancel();
         long now = timers.nanoTime();
-        policy.ended(
+        policy.onAttemptEnded(
                 new AttemptReport(
                         attempt.open.request, attempt.stage, attempt.view, end, now - attempt.startedNanos, inFlight),
                 now);
--- a/library/src/main/java/org/copperspindle/routing/UpstreamView.java
+++ b/library/src/main/java/org/copperspindle/routing/UpstreamView.java
@@ -64,7 +64,7 @@
      *
      * @param inFlight attempts that the agent reported with the outcome, -1 if the attempt was lost
      */
-    public void ended(int inFlight) {
+    public void onAttemptEnded(int inFlight) {
         ownInFlight--;
         if (inFlight >= 0) {
             othersInFlight = Math.max(0, inFlight - ownInFlight);
@@ -76,7 +76,7 @@
      *
      * @param inFlight running attempts of all entries
      */
-    public void reported(int inFlight) {
+    public void onLoadReport(int inFlight) {
         othersInFlight = Math.max(0, inFlight - ownInFlight);
     }
 
--- a/library/src/main/java/org/copperspindle/time/LoopTimerService.java
+++ b/library/src/main/java/org/copperspindle/time/EventLoopTimerService.java
@@ -9,7 +9,7 @@
  * Timer service in real time on a Netty event loop. Due tasks run on the network thread itself, for state that this
  * thread owns, so that a timer needs no switch between threads.
  */
-public final class LoopTimerService implements TimerService {
+public final class EventLoopTimerService implements TimerService {
 
     private final EventLoop loop;
 
@@ -18,7 +18,7 @@
      *
      * @param loop event loop whose thread owns the subscribers' state
      */
-    public LoopTimerService(EventLoop loop) {
+    public EventLoopTimerService(EventLoop loop) {
         this.loop = loop;
     }
 
--- a/library/src/main/java/org/copperspindle/time/SuspensionWatch.java
+++ b/library/src/main/java/org/copperspindle/time/SuspensionDetector.java
@@ -7,7 +7,7 @@
  * jumps ahead, so a lease measured with the monotonic clock would seem valid for too long. A clock step of the time
  * of day looks the same; it only ends a lease early, which is harmless.
  */
-public final class SuspensionWatch {
+public final class SuspensionDetector {
 
     /**
      * Largest difference that doesn't count as a suspension. Far above the difference between two clock readings in
@@ -24,7 +24,7 @@
     /**
      * Creates a detector that uses the system clocks.
      */
-    public SuspensionWatch() {
+    public SuspensionDetector() {
         this(System::nanoTime, System::currentTimeMillis);
     }
 
@@ -34,7 +34,7 @@
      * @param monotonicNanos  monotonic time in nanoseconds
      * @param timeOfDayMillis time of day in milliseconds
      */
-    public SuspensionWatch(LongSupplier monotonicNanos, LongSupplier timeOfDayMillis) {
+    public SuspensionDetector(LongSupplier monotonicNanos, LongSupplier timeOfDayMillis) {
         this.monotonicNanos = monotonicNanos;
         this.timeOfDayMillis = timeOfDayMillis;
         this.offset = offset();
@@ -45,7 +45,7 @@
      *
      * @return true if the VM seems to have been suspended since the last call
      */
-    public boolean stoodStill() {
+    public boolean detectSuspension() {
         long now = offset();
         long jumpNanos = now - offset;
         offset = now;
--- a/library/src/main/java/org/copperspindle/version/EvacuationsMessage.java
+++ b/library/src/main/java/org/copperspindle/version/EvacuationsMessage.java
@@ -45,16 +45,16 @@
 
     /** Returns whether an order would evacuate one more failure domain than allowed. */
     boolean isFullFor(EvacuationCommand order) {
-        return order.begins() && !contains(order.failureDomain()) && failureDomains.size() >= MAX_FAILURE_DOMAINS;
+        return order.isEvacuation() && !contains(order.failureDomain()) && failureDomains.size() >= MAX_FAILURE_DOMAINS;
     }
 
     /** Returns the list after an order with the given log index; the same list if the order changes nothing. */
     EvacuationsMessage after(EvacuationCommand order, long index) {
-        if (contains(order.failureDomain()) == order.begins()) {
+        if (contains(order.failureDomain()) == order.isEvacuation()) {
             return this;
         }
         List<String> next = new ArrayList<>(failureDomains);
-        if (order.begins()) {
+        if (order.isEvacuation()) {
             next.add(order.failureDomain());
         } else {
             next.remove(order.failureDomain());
--- a/library/src/main/java/org/copperspindle/version/MemberSupervisor.java
+++ b/library/src/main/java/org/copperspindle/version/MemberSupervisor.java
@@ -79,7 +79,7 @@
 
     private void dropDamaged() {
         try {
-            opener.dropRecords();
+            opener.deleteRecords();
         } catch (IOException e) {
             LOGGER.warn("event=records-not-dropped action=tried-again reason=\"{}\"", e.toString());
         }
@@ -102,6 +102,6 @@
          *
          * @throws IOException if the disk fails
          */
-        void dropRecords() throws IOException;
+        void deleteRecords() throws IOException;
     }
 }
--- a/library/src/main/java/org/copperspindle/version/VersionExchange.java
+++ b/library/src/main/java/org/copperspindle/version/VersionExchange.java
@@ -142,7 +142,7 @@
      *
      * @param newVersion the version
      */
-    public void recorded(VersionMessage newVersion) {
+    public void onRecorded(VersionMessage newVersion) {
         holder.receive(newVersion);
         if (status.leads()) {
             mesh.nodes().forEach(node -> push(node, node.hello().version(), newVersion));
@@ -154,7 +154,7 @@
      *
      * @param evacuations all evacuated failure domains
      */
-    public void recorded(EvacuationsMessage evacuations) {
+    public void onRecorded(EvacuationsMessage evacuations) {
         holder.receive(evacuations);
         if (status.leads()) {
             mesh.broadcast(evacuations);
--- a/library/src/main/java/org/copperspindle/version/VersionHolder.java
+++ b/library/src/main/java/org/copperspindle/version/VersionHolder.java
@@ -13,7 +13,7 @@
 import org.copperspindle.route.RouteTable;
 import org.copperspindle.route.RouteTableReader;
 import org.copperspindle.route.RouteTableResult;
-import org.copperspindle.time.SuspensionWatch;
+import org.copperspindle.time.SuspensionDetector;
 import org.copperspindle.time.TimerService;
 
 /**
@@ -34,7 +34,7 @@
     private final TimerService timers;
     private final RouteTableReader reader;
     private final long leaseNanos;
-    private final SuspensionWatch watch;
+    private final SuspensionDetector watch;
     private final Consumer<VersionLeaseRequestMessage> requestSender;
     private final List<Consumer<RouteTable>> listeners = new ArrayList<>();
     private final List<Consumer<EvacuationsMessage>> evacuationListeners = new ArrayList<>();
@@ -61,7 +61,7 @@
             TimerService timers,
             RouteTableReader reader,
             Duration lease,
-            SuspensionWatch watch,
+            SuspensionDetector watch,
             Consumer<VersionLeaseRequestMessage> requestSender) {
         this.timers = timers;
         this.reader = reader;
@@ -224,7 +224,7 @@
     }
 
     private void checkSuspension() {
-        if (!watch.stoodStill()) {
+        if (!watch.detectSuspension()) {
             return;
         }
         pendingRequests.clear();
--- a/library/src/main/java/org/copperspindle/version/VersionMember.java
+++ b/library/src/main/java/org/copperspindle/version/VersionMember.java
@@ -14,7 +14,7 @@
 import org.copperspindle.control.ProposalResult;
 import org.copperspindle.control.ReplicatedLog;
 import org.copperspindle.core.DecisionRing;
-import org.copperspindle.time.SuspensionWatch;
+import org.copperspindle.time.SuspensionDetector;
 import org.copperspindle.time.TimerService;
 import org.copperspindle.wire.WireTransport;
 
@@ -33,7 +33,7 @@
     private final TimerService timers;
     private final VersionState state;
     private final ReplicatedLog log;
-    private final SuspensionWatch watch;
+    private final SuspensionDetector watch;
     private final Consumer<MemberStatus> listener;
     private final long distrustPeriodNanos;
     private long distrustUntil;
@@ -46,7 +46,7 @@
             TimerService timers,
             VersionState state,
             ReplicatedLog log,
-            SuspensionWatch watch,
+            SuspensionDetector watch,
             Duration electionTimeout,
             Consumer<MemberStatus> listener) {
         this.ring = ring;
@@ -83,7 +83,7 @@
         ConsensusLog log = ConsensusLog.open(ring, timers, transport, state, settings);
         listen(transport, bind, log);
         VersionMember member = new VersionMember(
-                ring, timers, state, log, new SuspensionWatch(), settings.electionTimeout(), listener);
+                ring, timers, state, log, new SuspensionDetector(), settings.electionTimeout(), listener);
         ring.execute(log::start);
         ring.execute(member::publish);
         return member;
@@ -194,7 +194,7 @@
      */
     private boolean isTrusted() {
         long now = timers.nanoTime();
-        if (watch.stoodStill()) {
+        if (watch.detectSuspension()) {
             LOGGER.warn("event=suspension-noticed action=leases-held-back");
             distrustUntil = now + distrustPeriodNanos;
             isDistrusted = true;
--- a/library/src/main/java/org/copperspindle/version/VersionSnapshotMessage.java
+++ b/library/src/main/java/org/copperspindle/version/VersionSnapshotMessage.java
@@ -40,7 +40,7 @@
     private static VersionSnapshotMessage read(FieldReader in) {
         byte[] text = in.getBytes(1);
         return new VersionSnapshotMessage(
-                text.length == 0 ? Optional.empty() : Optional.of(VersionMessage.CODEC.decodePart(text)),
-                EvacuationsMessage.CODEC.decodePart(in.getBytes(2)));
+                text.length == 0 ? Optional.empty() : Optional.of(VersionMessage.CODEC.decodeNested(text)),
+                EvacuationsMessage.CODEC.decodeNested(in.getBytes(2)));
     }
 }
--- a/library/src/main/java/org/copperspindle/version/VersionState.java
+++ b/library/src/main/java/org/copperspindle/version/VersionState.java
@@ -112,7 +112,7 @@
         LOGGER.info(
                 "event=evacuation-committed domain={} begins={} changed={} index={} term={} evacuated={}",
                 order.failureDomain(),
-                order.begins(),
+                order.isEvacuation(),
                 next != held.evacuations(),
                 index,
                 term,
--- a/library/src/main/java/org/copperspindle/version/VoterDiscovery.java
+++ b/library/src/main/java/org/copperspindle/version/VoterDiscovery.java
@@ -112,7 +112,7 @@
         for (MeshNode node : mesh.nodes()) {
             if (node.hello().durable()) {
                 names.add(node.address());
-                grouped |= node.hello().grouped();
+                grouped |= node.hello().inControlGroup();
             }
         }
         List<VoterAddress> voters = names.stream()
--- a/library/src/main/java/org/copperspindle/wire/MessageCodec.java
+++ b/library/src/main/java/org/copperspindle/wire/MessageCodec.java
@@ -96,7 +96,7 @@
      * @return the message
      * @throws IllegalArgumentException if the bytes are not a message of this type
      */
-    public T decodePart(byte[] payload) {
+    public T decodeNested(byte[] payload) {
         try {
             return decode(payload);
         } catch (MalformedFrameException e) {
--- a/library/src/test/java/org/copperspindle/agent/AttemptTableTest.java
+++ b/library/src/test/java/org/copperspindle/agent/AttemptTableTest.java
@@ -175,9 +175,9 @@
                 100,
                 LIMITS.maxDeadline(),
                 LIMITS.maxClockAge(),
-                LIMITS.keep(),
-                LIMITS.linger(),
-                LIMITS.keep());
+                LIMITS.retention(),
+                LIMITS.abortGrace(),
+                LIMITS.retention());
         AttemptTable full = new AttemptTable("gallery-1", INCARNATION, smallLimits);
         full.onOrder(stamped("a", true, Priority.STANDARD, 1, 9), first, 2 * SECOND);
         full.onOrder(stamped("b", true, Priority.STANDARD, 1, 9), first, 2 * SECOND);
--- a/library/src/test/java/org/copperspindle/audit/AuditedStateTest.java
+++ b/library/src/test/java/org/copperspindle/audit/AuditedStateTest.java
@@ -73,7 +73,7 @@
         for (AuditRecord record : records) {
             AuditEntry entry = record.entry();
             assertThat(entry.acceptedAtMillis()).isEqualTo(AT.toEpochMilli());
-            descriptions.add(record.index() + " " + entry.kind().word() + " " + entry.actor() + " " + entry.details());
+            descriptions.add(record.index() + " " + entry.kind().label() + " " + entry.actor() + " " + entry.details());
         }
 
         assertThat(descriptions)
--- a/library/src/test/java/org/copperspindle/backpressure/SendPermitsTest.java
+++ b/library/src/test/java/org/copperspindle/backpressure/SendPermitsTest.java
@@ -10,7 +10,7 @@
 import org.copperspindle.discovery.UpstreamPhase;
 import org.copperspindle.discovery.UpstreamRecord;
 import org.copperspindle.measure.BusiestWindow;
-import org.copperspindle.measure.DecisionLog;
+import org.copperspindle.measure.LogRateLimiter;
 import org.copperspindle.routing.RendezvousScore;
 import org.copperspindle.time.VirtualTimerService;
 import org.copperspindle.wire.WireMessage;
@@ -179,7 +179,7 @@
         private final String name;
         private final long startedAt = time.nanoTime();
         private final UpstreamDirectory directory = new UpstreamDirectory();
-        private final UpstreamLimits limits = new UpstreamLimits(directory, new DecisionLog(0, 0));
+        private final UpstreamLimits limits = new UpstreamLimits(directory, new LogRateLimiter(0, 0));
         private SendPermits permits = new SendPermits(limits, upstream -> owner(), this, time);
         private boolean running = true;
         private boolean ended;
--- a/library/src/test/java/org/copperspindle/backpressure/UpstreamBackoffsTest.java
+++ b/library/src/test/java/org/copperspindle/backpressure/UpstreamBackoffsTest.java
@@ -5,7 +5,7 @@
 import org.copperspindle.discovery.UpstreamDirectory;
 import org.copperspindle.discovery.UpstreamPhase;
 import org.copperspindle.discovery.UpstreamRecord;
-import org.copperspindle.measure.DecisionLog;
+import org.copperspindle.measure.LogRateLimiter;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
@@ -17,7 +17,7 @@
     private static final long SECOND = 1_000_000_000L;
 
     private final UpstreamDirectory directory = new UpstreamDirectory();
-    private final UpstreamBackoffs backoffs = new UpstreamBackoffs(directory, new DecisionLog(0, 0));
+    private final UpstreamBackoffs backoffs = new UpstreamBackoffs(directory, new LogRateLimiter(0, 0));
 
     UpstreamBackoffsTest() {
         announce(1, UpstreamPhase.READY);
@@ -86,7 +86,7 @@
         requestBackoff(3, 0);
         backoffs.removeStale();
         assertThat(backoffs.isAnyKnown()).isTrue();
-        directory.forgetSilent(100 * SECOND);
+        directory.removeSilent(100 * SECOND);
         backoffs.removeStale();
         assertThat(backoffs.isAnyKnown()).isFalse();
     }
--- a/library/src/test/java/org/copperspindle/backpressure/UpstreamLimitsTest.java
+++ b/library/src/test/java/org/copperspindle/backpressure/UpstreamLimitsTest.java
@@ -5,7 +5,7 @@
 import org.copperspindle.discovery.UpstreamDirectory;
 import org.copperspindle.discovery.UpstreamPhase;
 import org.copperspindle.discovery.UpstreamRecord;
-import org.copperspindle.measure.DecisionLog;
+import org.copperspindle.measure.LogRateLimiter;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
@@ -17,7 +17,7 @@
     private static final LimitSignal LIMIT = new LimitSignal.Named(1.5);
 
     private final UpstreamDirectory directory = new UpstreamDirectory();
-    private final UpstreamLimits limits = new UpstreamLimits(directory, new DecisionLog(0, 0));
+    private final UpstreamLimits limits = new UpstreamLimits(directory, new LogRateLimiter(0, 0));
 
     UpstreamLimitsTest() {
         announce(1, UpstreamPhase.READY);
@@ -89,7 +89,7 @@
     @Test
     void limitOfASilentUpstreamIsForgotten() {
         limits.onResponse("e", LIMIT, 0, 100);
-        directory.forgetSilent(100_000_000_000L);
+        directory.removeSilent(100_000_000_000L);
         limits.removeStale(100_000_000_000L);
         assertThat(limits.isAnyKnown()).isFalse();
     }
--- a/library/src/test/java/org/copperspindle/batch/BatchServiceTest.java
+++ b/library/src/test/java/org/copperspindle/batch/BatchServiceTest.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 
 import org.copperspindle.discovery.UpstreamDirectory;
-import org.copperspindle.measure.DecisionLog;
+import org.copperspindle.measure.LogRateLimiter;
 import org.copperspindle.mesh.FakePeer;
 import org.copperspindle.mesh.MeshRelay;
 import org.copperspindle.mesh.MeshSettings;
@@ -139,7 +139,7 @@
                 new FakeStagePort(time, LIMITS),
                 pool -> Optional.of(LIMITS),
                 new LowFitnessNode(),
-                new DecisionLog(0, 0));
+                new LogRateLimiter(0, 0));
         relay.listener(made);
         mesh.subscribe(relay);
         mesh.subscribe(made);
--- a/library/src/test/java/org/copperspindle/batch/FakeStagePort.java
+++ b/library/src/test/java/org/copperspindle/batch/FakeStagePort.java
@@ -72,7 +72,7 @@
     }
 
     @Override
-    public void free(UpstreamRecord upstream, List<String> handles, Runnable ended) {
+    public void releaseResults(UpstreamRecord upstream, List<String> handles, Runnable ended) {
         freed.addAll(handles);
         freeCalls++;
         time.schedule(freeNanos, ended);
--- a/library/src/test/java/org/copperspindle/batch/LimitedStageTest.java
+++ b/library/src/test/java/org/copperspindle/batch/LimitedStageTest.java
@@ -7,7 +7,7 @@
 import org.copperspindle.discovery.UpstreamDirectory;
 import org.copperspindle.discovery.UpstreamPhase;
 import org.copperspindle.discovery.UpstreamRecord;
-import org.copperspindle.measure.DecisionLog;
+import org.copperspindle.measure.LogRateLimiter;
 import org.copperspindle.route.BatchLimits;
 import org.copperspindle.route.TestRoutes;
 import org.copperspindle.time.VirtualTimerService;
@@ -38,7 +38,7 @@
                     port,
                     () -> Optional.of(LIMITS),
                     new RecordingSink(this::release),
-                    new DecisionLog(0, 0))
+                    new LogRateLimiter(0, 0))
             .limitCallsWith(admission);
     private long lastId;
 
--- a/library/src/test/java/org/copperspindle/batch/PoolDispatcherTest.java
+++ b/library/src/test/java/org/copperspindle/batch/PoolDispatcherTest.java
@@ -10,7 +10,7 @@
 import org.copperspindle.discovery.UpstreamDirectory;
 import org.copperspindle.discovery.UpstreamPhase;
 import org.copperspindle.discovery.UpstreamRecord;
-import org.copperspindle.measure.DecisionLog;
+import org.copperspindle.measure.LogRateLimiter;
 import org.copperspindle.route.BatchLimits;
 import org.copperspindle.route.TestRoutes;
 import org.copperspindle.time.VirtualTimerService;
@@ -32,7 +32,7 @@
     private final List<PieceResult> results = new ArrayList<>();
     private final RecordingSink sink = new RecordingSink(message -> results.addAll(message.results()));
     private final PoolDispatcher dispatcher =
-            new PoolDispatcher("p", directory, time, port, () -> Optional.of(LIMITS), sink, new DecisionLog(0, 0));
+            new PoolDispatcher("p", directory, time, port, () -> Optional.of(LIMITS), sink, new LogRateLimiter(0, 0));
     private long lastId;
 
     @Test
--- a/library/src/test/java/org/copperspindle/batch/ResultMemoryTest.java
+++ b/library/src/test/java/org/copperspindle/batch/ResultMemoryTest.java
@@ -12,7 +12,7 @@
 import org.copperspindle.discovery.UpstreamDirectory;
 import org.copperspindle.discovery.UpstreamPhase;
 import org.copperspindle.discovery.UpstreamRecord;
-import org.copperspindle.measure.DecisionLog;
+import org.copperspindle.measure.LogRateLimiter;
 import org.copperspindle.route.BatchLimits;
 import org.copperspindle.time.VirtualTimerService;
 import org.junit.jupiter.api.Test;
@@ -84,7 +84,7 @@
                 new FakeStagePort(time, limits),
                 () -> Optional.of(limits),
                 sink,
-                new DecisionLog(0, 0));
+                new LogRateLimiter(0, 0));
     }
 
     private void firstMade(PieceResultsMessage message) {
--- a/library/src/test/java/org/copperspindle/batch/SharedCallsTest.java
+++ b/library/src/test/java/org/copperspindle/batch/SharedCallsTest.java
@@ -11,7 +11,7 @@
 import org.copperspindle.discovery.UpstreamDirectory;
 import org.copperspindle.discovery.UpstreamPhase;
 import org.copperspindle.discovery.UpstreamRecord;
-import org.copperspindle.measure.DecisionLog;
+import org.copperspindle.measure.LogRateLimiter;
 import org.copperspindle.route.BatchLimits;
 import org.copperspindle.route.TestRoutes;
 import org.copperspindle.time.VirtualTimerService;
@@ -72,7 +72,7 @@
                             inTime[0]++;
                         }
                     }),
-                    new DecisionLog(0, 0)));
+                    new LogRateLimiter(0, 0)));
         }
         SplittableRandom random = new SplittableRandom(17);
         for (long id = 1; id <= GROUPS; id++) {
--- a/library/src/test/java/org/copperspindle/batch/SlowUpstreamTest.java
+++ b/library/src/test/java/org/copperspindle/batch/SlowUpstreamTest.java
@@ -9,7 +9,7 @@
 import org.copperspindle.discovery.UpstreamDirectory;
 import org.copperspindle.discovery.UpstreamPhase;
 import org.copperspindle.discovery.UpstreamRecord;
-import org.copperspindle.measure.DecisionLog;
+import org.copperspindle.measure.LogRateLimiter;
 import org.copperspindle.route.BatchLimits;
 import org.copperspindle.route.TestRoutes;
 import org.copperspindle.time.VirtualTimerService;
@@ -41,7 +41,7 @@
             port,
             () -> Optional.of(LIMITS),
             new RecordingSink(message -> {}),
-            new DecisionLog(0, 0));
+            new LogRateLimiter(0, 0));
     private long lastId;
 
     @BeforeEach
--- a/library/src/test/java/org/copperspindle/batch/SplitGroupsTest.java
+++ b/library/src/test/java/org/copperspindle/batch/SplitGroupsTest.java
@@ -11,7 +11,7 @@
 import org.copperspindle.discovery.UpstreamDirectory;
 import org.copperspindle.discovery.UpstreamPhase;
 import org.copperspindle.discovery.UpstreamRecord;
-import org.copperspindle.measure.DecisionLog;
+import org.copperspindle.measure.LogRateLimiter;
 import org.copperspindle.route.BatchLimits;
 import org.copperspindle.time.VirtualTimerService;
 import org.junit.jupiter.api.Test;
@@ -52,7 +52,7 @@
                 new FakeStagePort(time, LIMITS),
                 () -> Optional.of(LIMITS),
                 new RecordingSink(this::made),
-                new DecisionLog(0, 0));
+                new LogRateLimiter(0, 0));
         SplittableRandom random = new SplittableRandom(5);
         for (long id = 1; id <= GROUPS; id++) {
             time.advance((long) (-Math.log(1 - random.nextDouble()) / GROUPS_PER_SECOND * 1e9));
--- a/library/src/test/java/org/copperspindle/direct/DirectClientTest.java
+++ b/library/src/test/java/org/copperspindle/direct/DirectClientTest.java
@@ -18,7 +18,7 @@
 import org.copperspindle.emulator.ScriptedUpstream.Script;
 import org.copperspindle.http.HeaderField;
 import org.copperspindle.loopback.LoopbackHost;
-import org.copperspindle.time.LoopTimerService;
+import org.copperspindle.time.EventLoopTimerService;
 import org.copperspindle.time.TimerService;
 import org.copperspindle.time.TimerSubscription;
 import org.junit.jupiter.api.AfterEach;
@@ -321,7 +321,7 @@
 
     /** Timers of the loop, with a clock that the test advances. */
     private final class ManualClockTimers implements TimerService {
-        private final TimerService timers = new LoopTimerService(loop);
+        private final TimerService timers = new EventLoopTimerService(loop);
 
         @Override
         public long nanoTime() {
--- a/library/src/test/java/org/copperspindle/discovery/UpstreamDirectoryTest.java
+++ b/library/src/test/java/org/copperspindle/discovery/UpstreamDirectoryTest.java
@@ -165,7 +165,7 @@
         directory.markGone("b", 0, "deregistered", now);
         now += 61 * SECOND;
         announce("c", "10.0.0.3:1", UpstreamPhase.READY, 1, 0);
-        directory.forgetSilent(now);
+        directory.removeSilent(now);
         assertThat(directory.all(now)).map(UpstreamRecord::id).containsExactly("c");
     }
 
--- a/library/src/test/java/org/copperspindle/entry/EntryServiceTest.java
+++ b/library/src/test/java/org/copperspindle/entry/EntryServiceTest.java
@@ -8,7 +8,7 @@
 
 import org.copperspindle.core.DecisionRing;
 import org.copperspindle.daemon.MessageCatalog;
-import org.copperspindle.measure.EntryMeasures;
+import org.copperspindle.measure.EntryMetrics;
 import org.copperspindle.time.VirtualTimerService;
 import org.copperspindle.wire.GreetingMessage;
 import org.copperspindle.wire.WireTransport;
@@ -43,7 +43,7 @@
                     transport,
                     new EntrySettings(nowhere, "a", Duration.ofSeconds(1), 10, 1024, Duration.ZERO),
                     List.of(nowhere),
-                    EntryMeasures.NONE);
+                    EntryMetrics.NONE);
             ring.execute(() -> runUntil(firstRuns, first));
             firstRuns.await();
             ring.execute(() -> runUntil(secondRuns, second));
--- a/library/src/test/java/org/copperspindle/entry/SimulatedEntry.java
+++ b/library/src/test/java/org/copperspindle/entry/SimulatedEntry.java
@@ -13,7 +13,7 @@
 import org.copperspindle.limits.EntryPolicy;
 import org.copperspindle.limits.EntryPolicyFactory;
 import org.copperspindle.limits.PolicyKind;
-import org.copperspindle.measure.EntryMeasures;
+import org.copperspindle.measure.EntryMetrics;
 import org.copperspindle.membership.ControlUpdateMessage;
 import org.copperspindle.pipeline.PipelineRequest;
 import org.copperspindle.routing.FleetView;
@@ -38,7 +38,7 @@
         this.deployment = deployment;
         this.view = view;
         this.claims = new ClaimClient(deployment.timers(), this::toControl);
-        this.driver = new RequestDriver(deployment.timers(), this, claims, fleet, policy, EntryMeasures.NONE);
+        this.driver = new RequestDriver(deployment.timers(), this, claims, fleet, policy, EntryMetrics.NONE);
     }
 
     void update(ControlUpdateMessage update) {
--- a/library/src/test/java/org/copperspindle/gateway/SimulatedStages.java
+++ b/library/src/test/java/org/copperspindle/gateway/SimulatedStages.java
@@ -67,7 +67,7 @@
     }
 
     @Override
-    public void free(UpstreamRecord upstream, List<String> handles, Runnable ended) {
+    public void releaseResults(UpstreamRecord upstream, List<String> handles, Runnable ended) {
         timers.schedule(ONE_WAY_NANOS, () -> handles.forEach(server(upstream)::drop));
         timers.schedule(2 * ONE_WAY_NANOS, ended);
     }
--- a/library/src/test/java/org/copperspindle/gateway/SingleNodeBatches.java
+++ b/library/src/test/java/org/copperspindle/gateway/SingleNodeBatches.java
@@ -9,7 +9,7 @@
 import org.copperspindle.batch.DispatcherStatus;
 import org.copperspindle.batch.StagePort;
 import org.copperspindle.discovery.UpstreamDirectory;
-import org.copperspindle.measure.DecisionLog;
+import org.copperspindle.measure.LogRateLimiter;
 import org.copperspindle.mesh.MeshRelay;
 import org.copperspindle.mesh.MeshSettings;
 import org.copperspindle.mesh.NodeHelloMessage;
@@ -47,7 +47,7 @@
                 port,
                 name -> Optional.ofNullable(limits.get(name)),
                 new SingleNodeStatus(),
-                new DecisionLog(0, 0));
+                new LogRateLimiter(0, 0));
         service.start();
     }
 
--- a/library/src/test/java/org/copperspindle/gateway/UpstreamChooserTest.java
+++ b/library/src/test/java/org/copperspindle/gateway/UpstreamChooserTest.java
@@ -22,7 +22,7 @@
 import org.copperspindle.discovery.UpstreamDirectory;
 import org.copperspindle.discovery.UpstreamPhase;
 import org.copperspindle.discovery.UpstreamRecord;
-import org.copperspindle.measure.DecisionLog;
+import org.copperspindle.measure.LogRateLimiter;
 import org.copperspindle.route.ColdLimits;
 import org.copperspindle.route.UpstreamPool;
 import org.copperspindle.time.VirtualTimerService;
@@ -41,8 +41,8 @@
     private final UpstreamDirectory directory = new UpstreamDirectory();
     private final UpstreamTracker tracker = new UpstreamTracker();
     private final SenderSetAdmission cold = new SenderSetAdmission("n0", List::of, () -> false);
-    private final UpstreamLimits limits = new UpstreamLimits(directory, new DecisionLog(0, 0));
-    private final UpstreamBackoffs backoffs = new UpstreamBackoffs(directory, new DecisionLog(0, 0));
+    private final UpstreamLimits limits = new UpstreamLimits(directory, new LogRateLimiter(0, 0));
+    private final UpstreamBackoffs backoffs = new UpstreamBackoffs(directory, new LogRateLimiter(0, 0));
     private final SendPermits permits = SingleNodePermits.of(limits, time);
     private final UpstreamChooser chooser =
             new UpstreamChooser(directory, tracker, cold, permits, backoffs, new Random(3), "d0");
--- a/library/src/test/java/org/copperspindle/quarantine/QuarantineFleet.java
+++ b/library/src/test/java/org/copperspindle/quarantine/QuarantineFleet.java
@@ -22,7 +22,7 @@
 import org.copperspindle.discovery.UpstreamDirectory;
 import org.copperspindle.discovery.UpstreamPhase;
 import org.copperspindle.discovery.UpstreamRecord;
-import org.copperspindle.measure.DecisionLog;
+import org.copperspindle.measure.LogRateLimiter;
 import org.copperspindle.mesh.MeshSettings;
 import org.copperspindle.mesh.NodeHelloMessage;
 import org.copperspindle.mesh.NodeListMessage;
@@ -265,7 +265,7 @@
             this.mesh = new NodeMesh(
                     new MeshSettings(own, own, "127.0.0.1:9", "d", false, List.of()), transport, time, () -> hello);
             this.quarantine = new RequestQuarantine(
-                    mesh, time, directory, QuarantineFleet.this::check, new DecisionLog(LINES, LINES));
+                    mesh, time, directory, QuarantineFleet.this::check, new LogRateLimiter(LINES, LINES));
             mesh.subscribe(quarantine);
         }
 
--- a/library/src/test/java/org/copperspindle/time/SuspensionWatchTest.java
+++ b/library/src/test/java/org/copperspindle/time/SuspensionDetectorTest.java
@@ -7,7 +7,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class SuspensionWatchTest {
+class SuspensionDetectorTest {
 
     /**
      * After a suspension of some seconds the monotonic clock continues where it stopped, and the time of day has
@@ -21,15 +21,15 @@
         "1000, 1400, true",
         "1000, -2000, false",
     })
-    void detectsJumpOfTimeOfDay(long monotonicMillis, long dayMillis, boolean stoodStill) {
+    void detectsJumpOfTimeOfDay(long monotonicMillis, long dayMillis, boolean suspended) {
         AtomicLong monotonic = new AtomicLong(7);
         AtomicLong day = new AtomicLong(1_000_000);
-        SuspensionWatch detector = new SuspensionWatch(monotonic::get, day::get);
+        SuspensionDetector detector = new SuspensionDetector(monotonic::get, day::get);
         monotonic.addAndGet(monotonicMillis * 1_000_000);
         day.addAndGet(dayMillis);
-        assertThat(detector.stoodStill()).isEqualTo(stoodStill);
+        assertThat(detector.detectSuspension()).isEqualTo(suspended);
         monotonic.addAndGet(1_000_000);
         day.addAndGet(1);
-        assertThat(detector.stoodStill()).as("reported once").isFalse();
+        assertThat(detector.detectSuspension()).as("reported once").isFalse();
     }
 }
--- a/library/src/test/java/org/copperspindle/version/MemberSupervisorTest.java
+++ b/library/src/test/java/org/copperspindle/version/MemberSupervisorTest.java
@@ -14,7 +14,7 @@
 import org.copperspindle.control.ProposalResult;
 import org.copperspindle.control.ReplicatedLog;
 import org.copperspindle.core.DecisionRing;
-import org.copperspindle.time.SuspensionWatch;
+import org.copperspindle.time.SuspensionDetector;
 import org.copperspindle.time.VirtualTimerService;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
@@ -93,13 +93,13 @@
                     time,
                     new VersionState(new IgnoringObserver()),
                     log,
-                    new SuspensionWatch(),
+                    new SuspensionDetector(),
                     Duration.ofSeconds(1),
                     status -> {});
         }
 
         @Override
-        public void dropRecords() {
+        public void deleteRecords() {
             drops++;
         }
     }
--- a/library/src/test/java/org/copperspindle/version/VersionHolderTest.java
+++ b/library/src/test/java/org/copperspindle/version/VersionHolderTest.java
@@ -11,7 +11,7 @@
 import org.copperspindle.route.RouteTableReader;
 import org.copperspindle.route.RouteTableResult;
 import org.copperspindle.route.TestRoutes;
-import org.copperspindle.time.SuspensionWatch;
+import org.copperspindle.time.SuspensionDetector;
 import org.copperspindle.time.VirtualTimerService;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -29,8 +29,8 @@
 
     private final VirtualTimerService time = new VirtualTimerService();
     private final AtomicLong suspended = new AtomicLong();
-    private final SuspensionWatch watch =
-            new SuspensionWatch(time::nanoTime, () -> (time.nanoTime() + suspended.get()) / MILLI);
+    private final SuspensionDetector watch =
+            new SuspensionDetector(time::nanoTime, () -> (time.nanoTime() + suspended.get()) / MILLI);
     private final List<VersionLeaseRequestMessage> requests = new ArrayList<>();
     private final VersionHolder holder = new VersionHolder(time, READER, Duration.ofMillis(3800), watch, requests::add);
 
--- a/soak/src/main/java/org/copperspindle/soak/SoakUpstream.java
+++ b/soak/src/main/java/org/copperspindle/soak/SoakUpstream.java
@@ -163,7 +163,7 @@
     void crash() {
         ended = true;
         close();
-        open.forEach(SoakUpstream::breakOff);
+        open.forEach(SoakUpstream::abortResponse);
     }
 
     @Override
@@ -178,7 +178,7 @@
 
     private void handle(HttpExchange exchange) {
         if (ended) {
-            breakOff(exchange);
+            abortResponse(exchange);
             return;
         }
         open.add(exchange);
@@ -212,10 +212,10 @@
         return fields;
     }
 
-    private static void breakOff(HttpExchange exchange) {
+    private static void abortResponse(HttpExchange exchange) {
         // Only an answer that has begun can be broken off; where it has, this does nothing.
         exchange.start(200, List.of());
-        exchange.breakOff();
+        exchange.abortResponse();
     }
 
     private void runRequest(HttpExchange exchange) {
@@ -247,7 +247,7 @@
             stream(exchange, request, after + 1, last);
         } else if (breaks) {
             exchange.start(200, fields);
-            exchange.breakOff();
+            exchange.abortResponse();
         } else {
             byte[] body = request.body().getBytes(StandardCharsets.UTF_8);
             later(exchange, random.nextInt(EVENT_MILLIS), () -> exchange.respond(200, fields, body));
@@ -258,7 +258,7 @@
         if (number > SoakRequest.EVENTS) {
             exchange.finish();
         } else if (number > last) {
-            exchange.breakOff();
+            exchange.abortResponse();
         } else if (exchange.write(request.event(number))) {
             later(exchange, EVENT_MILLIS, () -> stream(exchange, request, number + 1, last));
         }
--- a/tools/src/main/java/org/copperspindle/cli/AuditCommand.java
+++ b/tools/src/main/java/org/copperspindle/cli/AuditCommand.java
@@ -48,7 +48,7 @@
         parser.addArgument("--operator").metavar("NAME").help("operator or member that caused the record");
         parser.addArgument("--change-id").metavar("ID").help("change id, upstream, order id or voter");
         parser.addArgument("--kind")
-                .choices(Arrays.stream(AuditKind.values()).map(AuditKind::word).toList())
+                .choices(Arrays.stream(AuditKind.values()).map(AuditKind::label).toList())
                 .help("kind of record");
         parser.addArgument("--from-version")
                 .type(Long.class)
--- a/tools/src/main/java/org/copperspindle/cli/AuditPrinter.java
+++ b/tools/src/main/java/org/copperspindle/cli/AuditPrinter.java
@@ -60,7 +60,7 @@
         StringBuilder line = new StringBuilder();
         line.append("record=").append(record.number());
         line.append(" time=").append(Instant.ofEpochMilli(entry.acceptedAtMillis()));
-        line.append(" kind=").append(entry.kind().word());
+        line.append(" kind=").append(entry.kind().label());
         line.append(" actor=").append(entry.actor());
         line.append(" subject=").append(entry.subject());
         line.append(" base=").append(entry.baseVersion());
@@ -75,7 +75,7 @@
         ObjectNode node = JsonNodeFactory.instance.objectNode();
         node.put("record", record.number())
                 .put("time", Instant.ofEpochMilli(entry.acceptedAtMillis()).toString())
-                .put("kind", entry.kind().word())
+                .put("kind", entry.kind().label())
                 .put("actor", entry.actor())
                 .put("subject", entry.subject())
                 .put("base", entry.baseVersion())
--- a/tools/src/main/java/org/copperspindle/cli/AuditReader.java
+++ b/tools/src/main/java/org/copperspindle/cli/AuditReader.java
@@ -13,7 +13,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import org.copperspindle.audit.AuditDoor;
+import org.copperspindle.audit.AuditEndpoint;
 import org.copperspindle.audit.AuditHead;
 import org.copperspindle.audit.AuditRecord;
 import org.copperspindle.audit.AuditVerifier;
@@ -58,7 +58,7 @@
     }
 
     private JsonNode fetchPage(long after) throws IOException, InterruptedException {
-        URI uri = URI.create("http://" + control + AuditDoor.PATH + "?after=" + after);
+        URI uri = URI.create("http://" + control + AuditEndpoint.PATH + "?after=" + after);
         HttpRequest request =
                 HttpRequest.newBuilder(uri).timeout(REQUEST_TIMEOUT).build();
         HttpResponse<String> response = http.send(request, HttpResponse.BodyHandlers.ofString(StandardCharsets.UTF_8));
--- a/tools/src/main/java/org/copperspindle/demo/DemoRun.java
+++ b/tools/src/main/java/org/copperspindle/demo/DemoRun.java
@@ -159,7 +159,7 @@
     private DemoCall call(TraceCall traced, String token) {
         PipelineSettings pipeline = deployment.pipeline(traced.call()).orElseThrow();
         Priority highest = deployment.accounts().containsKey(traced.account())
-                ? deployment.accounts().get(traced.account()).highest()
+                ? deployment.accounts().get(traced.account()).highestPriority()
                 : Priority.INTERACTIVE;
         Priority priority = pipeline.priority().compareTo(highest) < 0 ? highest : pipeline.priority();
         String bearer = "demo-" + deployment.name() + "-" + traced.account();
