--- a/tools/src/main/java/org/copperspindle/cli/SoakCommand.java
+++ b/tools/src/main/java/org/copperspindle/cli/SoakCommand.java
@@ -58,7 +58,8 @@
                 .help("leave out the caller whose request crashes each upstream that runs it");
         parser.addArgument("--no-evacuations")
                 .action(Arguments.storeTrue())
-                .help("leave out the operator who evacuates failure domains, and engines that start with a cold cache");
+                .help(
+                        "leave out the operator who evacuates failure domains, and engines that are cold after their start");
         parser.addArgument("--no-needs")
                 .action(Arguments.storeTrue())
                 .help("leave out upstreams that announce limits and request backoffs");
