--- a/library/src/main/java/org/copperspindle/audit/AuditStore.java
+++ b/library/src/main/java/org/copperspindle/audit/AuditStore.java
@@ -20,7 +20,10 @@
 
     private static final Logger LOGGER = LogManager.getLogger(AuditStore.class);
 
-    /** Maximum length of a file. A page reads at most about two files, so its cost does not grow with the trail. */
+    /**
+     * Maximum length of a file. A page reads only the files that hold its records, each from the start, so its cost
+     * does not grow with the trail.
+     */
     private static final long MAX_FILE_BYTES = 4 << 20;
 
     private static final int CLOSE_TIMEOUT_SECONDS = 10;
